--- a/crates/hemlocktack-node/src/callers/answer.rs
+++ b/crates/hemlocktack-node/src/callers/answer.rs
@@ -12,7 +12,7 @@
 
 use super::leaving::LeavingBody;
 use crate::calls::retry_after;
-use crate::counters::CallInFlight;
+use crate::counters::InFlightGuard;
 
 /// Answer to one request of a caller, about to leave.
 pub(crate) struct CallerAnswer {
@@ -65,7 +65,7 @@
     }
 
     /// The call stays in flight until the answer has left or its caller has gone.
-    pub(crate) fn into_response(self, in_flight: CallInFlight) -> Response<'static> {
+    pub(crate) fn into_response(self, in_flight: InFlightGuard) -> Response<'static> {
         let mut builder = Response::build();
         builder.status(Status::new(self.status));
         for header in self.headers {
--- a/crates/hemlocktack-node/src/callers/leaving.rs
+++ b/crates/hemlocktack-node/src/callers/leaving.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use rocket::tokio::io::{AsyncRead, AsyncSeek, ReadBuf};
 
-use crate::counters::CallInFlight;
+use crate::counters::InFlightGuard;
 
 /// Body that keeps its call in flight until the HTTP server has read it to its
 /// end, or has dropped it because the caller is gone.
@@ -19,11 +19,11 @@
 /// the listener's own grace.
 pub(super) struct LeavingBody {
     body: Cursor<Bytes>,
-    _in_flight: CallInFlight,
+    _in_flight: InFlightGuard,
 }
 
 impl LeavingBody {
-    pub(super) fn new(body: Bytes, in_flight: CallInFlight) -> Self {
+    pub(super) fn new(body: Bytes, in_flight: InFlightGuard) -> Self {
         Self {
             body: Cursor::new(body),
             _in_flight: in_flight,
--- a/crates/hemlocktack-node/src/callers/observe.rs
+++ b/crates/hemlocktack-node/src/callers/observe.rs
@@ -37,7 +37,7 @@
         let service = path.trim_start_matches('/').split('/').next();
         let (outcome, reason) = (answer.outcome, answer.reason);
         node.entry_counts
-            .ended(service.unwrap_or_default(), outcome, reason);
+            .record(service.unwrap_or_default(), outcome, reason);
         if outcome != Outcome::Answered {
             answer.traceparent = Some(self.span.context().header());
         }
--- a/crates/hemlocktack-node/src/callers/routes.rs
+++ b/crates/hemlocktack-node/src/callers/routes.rs
@@ -14,7 +14,7 @@
 use super::{CallerRequest, has_key, read_head};
 use crate::calls;
 use crate::node::Node;
-use crate::refused_body::take_for_a_while;
+use crate::refused_body::discard_with_timeout;
 
 /// What a caller may go on sending of a body that is refused.
 const REST_TAKEN_BYTES: usize = 64 << 20;
@@ -49,7 +49,7 @@
 #[async_trait]
 impl Handler for AnyPath {
     async fn handle<'r>(&self, request: &'r Request<'_>, data: Data<'r>) -> Outcome<'r> {
-        let in_flight = self.node.enter_call();
+        let in_flight = self.node.track_call();
         let entry = ObservedEntry::begin(&self.node, request);
         let answer = match read(&self.node, request, data).await {
             Ok(call) => calls::enter(&self.node, entry.pass_trace(call)).await,
@@ -91,5 +91,5 @@
 
 async fn take_rest(mut rest: DataStream<'_>) {
     let mut nowhere = tokio::io::sink();
-    take_for_a_while(tokio::io::copy(&mut rest, &mut nowhere)).await;
+    discard_with_timeout(tokio::io::copy(&mut rest, &mut nowhere)).await;
 }
--- a/crates/hemlocktack-node/src/calls/classify.rs
+++ b/crates/hemlocktack-node/src/calls/classify.rs
@@ -44,7 +44,7 @@
     request: CallerRequest,
     now: Instant,
 ) -> Result<Classified, Reason> {
-    let Some(in_force) = node.configuration_in_force() else {
+    let Some(in_force) = node.active_configuration() else {
         return Err(Reason::Starting);
     };
     let Some(service) = in_force.document.service(&request.service) else {
@@ -157,7 +157,7 @@
     if call.work_kind != 0 {
         return call.work_kind;
     }
-    let in_force = node.configuration_in_force();
+    let in_force = node.active_configuration();
     let service = in_force
         .as_ref()
         .and_then(|in_force| in_force.document.service(&call.service));
--- a/crates/hemlocktack-node/src/calls/deliver.rs
+++ b/crates/hemlocktack-node/src/calls/deliver.rs
@@ -12,8 +12,8 @@
 use super::receive;
 use super::service_directory::PeerEntry;
 use crate::links::{Peer, Sent};
-use crate::node::{Node, Place};
-use crate::telemetry::ObservedSpan;
+use crate::node::{Node, NodeLocation};
+use crate::telemetry::CallSpan;
 
 /// Kept back from the time left that goes along with a call, so that the
 /// receiver's verdict at the deadline reaches the caller before the entry has
@@ -39,12 +39,12 @@
     let given = allowance.give_to_child();
     call.retries_given = given;
     call.time_left_us = time_left_us(deadline);
-    let delivery = match node.place_of(&peer.member) {
-        Some(Place::Here) => Delivery {
+    let delivery = match node.locate(&peer.member) {
+        Some(NodeLocation::Local) => Delivery {
             answer: receive_here(node, call).await,
             is_receivers_word: true,
         },
-        Some(Place::There(peer)) => send_over_link(node, &peer, call, deadline).await,
+        Some(NodeLocation::Remote(peer)) => send_over_link(node, &peer, call, deadline).await,
         None => never_arrived(call.purpose(), given, Reason::LinkLost),
     };
     allowance.give_back(delivery.answer.retries_unspent, given);
@@ -61,7 +61,7 @@
     let _cancelled_with_caller = cancelled.clone().drop_guard();
     let node = node.clone();
     let running = tokio::spawn(async move {
-        let _in_flight = node.enter_call();
+        let _in_flight = node.track_call();
         receive(&node, call, &cancelled).await
     });
     running
@@ -72,7 +72,7 @@
 async fn send_over_link(node: &Node, peer: &Peer, mut call: Call, deadline: Instant) -> Delivery {
     let purpose = call.purpose();
     let given = call.retries_given;
-    let span = ObservedSpan::begin(node, SpanName::Link, &mut call);
+    let span = CallSpan::begin(node, SpanName::Link, &mut call);
     let delivery = match node.links.call(peer, call, deadline).await {
         Sent::Answer(answer) => Delivery {
             answer,
--- a/crates/hemlocktack-node/src/calls/home.rs
+++ b/crates/hemlocktack-node/src/calls/home.rs
@@ -91,7 +91,7 @@
 
 /// Runs the request here or, if this upstream is busy, on one other at a time.
 async fn run_home(node: Arc<Node>, call: Call, nonce: Nonce, deadline: Instant) {
-    let _in_flight = node.enter_call();
+    let _in_flight = node.track_call();
     let mut answer = run_here(&node, &call, nonce, deadline).await;
     let mut excluded = node
         .services
--- a/crates/hemlocktack-node/src/calls/place.rs
+++ b/crates/hemlocktack-node/src/calls/place.rs
@@ -49,7 +49,7 @@
         let has_node_left = tries.next(&view, classified).is_some();
         let retry = || take_retry(node, &unfinished, classified, &view, expected);
         let next = tries.sends.next_step(&unfinished, has_node_left, retry);
-        node.counters.send_ended(next);
+        node.counters.record_send_end(next);
         let peer = &view.peers[index];
         log_unfinished(node, classified, peer, &unfinished, next, &tries.sends);
         if !next.goes_on() {
@@ -77,7 +77,7 @@
     next: NextStep,
     sends: &CallSends,
 ) {
-    let Some(left_out) = node.call_lines.take() else {
+    let Some(left_out) = node.call_log_limiter.try_acquire() else {
         return;
     };
     let outcome: &'static str = unfinished.outcome().into();
--- a/crates/hemlocktack-node/src/calls/receive.rs
+++ b/crates/hemlocktack-node/src/calls/receive.rs
@@ -11,7 +11,7 @@
 use super::run::{RunOrder, run};
 use super::{catch_panic, home, not_run, unknown};
 use crate::node::Node;
-use crate::telemetry::{ObservedSpan, request_line};
+use crate::telemetry::{CallSpan, request_line};
 
 /// Treats a call by its purpose and answers with what became of it. It is
 /// counted as in flight by whoever sends the answer.
@@ -20,8 +20,8 @@
     mut call: Call,
     cancelled: &CancellationToken,
 ) -> Answer {
-    node.counters.demanded();
-    let span = ObservedSpan::begin(node, SpanName::Hop, &mut call);
+    node.counters.record_demand();
+    let span = CallSpan::begin(node, SpanName::Hop, &mut call);
     let what = request_line(&call.method, &call.path);
     let request_id = call.request_id.clone();
     let answer = catch_panic(&request_id, treat(node, call, cancelled)).await;
@@ -120,7 +120,7 @@
 }
 
 fn refused(node: &Node, call: &Call, reason: Reason) -> Answer {
-    node.counters.refused(reason);
+    node.counters.record_refusal(reason);
     Answer {
         retries_unspent: call.retries_given,
         ..not_run(reason, None)
--- a/crates/hemlocktack-node/src/calls/run.rs
+++ b/crates/hemlocktack-node/src/calls/run.rs
@@ -12,7 +12,7 @@
 use super::admission_queue::Admitted;
 use super::{RunningCall, not_run, objective_of, unknown, work_kind_of};
 use crate::node::Node;
-use crate::telemetry::{ObservedSpan, request_line};
+use crate::telemetry::{CallSpan, request_line};
 use crate::upstream::{UpstreamEnd, UpstreamSend};
 
 /// A running upstream accepts a connection in a millisecond; one that does not
@@ -43,7 +43,7 @@
     let class_rank = ClassRank::try_from(call.class_rank).unwrap_or(ClassRank::MAX);
     let kind = work_kind_of(node, &call);
     let arrived = Instant::now();
-    let queue = ObservedSpan::begin_wait(node, SpanName::Queue, &call);
+    let queue = CallSpan::begin_leaf(node, SpanName::Queue, &call);
     let admitted = node.admission_queue.admit(|call_id| Offer {
         call_id,
         class_rank,
@@ -57,11 +57,11 @@
     });
     let admitted = admitted.await;
     node.waits.queue.observe(queue.elapsed());
-    queue.end_wait(node, admitted.as_ref().err().map(|refusal| refusal.reason));
+    queue.end_leaf(node, admitted.as_ref().err().map(|refusal| refusal.reason));
     let admitted = match admitted {
         Ok(admitted) => admitted,
         Err(refusal) => {
-            node.counters.refused(refusal.reason);
+            node.counters.record_refusal(refusal.reason);
             let answer = Answer {
                 retries_unspent: call.retries_given,
                 ..not_run(refusal.reason, refusal.retry_after)
@@ -78,8 +78,8 @@
             ..not_run(Reason::Fenced, None)
         };
     }
-    node.counters.admitted();
-    let upstream = ObservedSpan::begin(node, SpanName::Upstream, &mut call);
+    node.counters.record_admitted();
+    let upstream = CallSpan::begin(node, SpanName::Upstream, &mut call);
     let running = RunningCall::new(&call, class_rank, nonce, deadline);
     let handed_over = Instant::now();
     let (answer, below) = hand_over(node, &call, running, admitted, kind).await;
@@ -90,7 +90,7 @@
 }
 
 fn log_refused(node: &Node, call: &Call, answer: &Answer, deadline: Instant) {
-    let Some(left_out) = node.call_lines.take() else {
+    let Some(left_out) = node.call_log_limiter.try_acquire() else {
         return;
     };
     let reason: &'static str = answer.reason().into();
@@ -151,7 +151,7 @@
     let ended = ended(&end, running);
     admitted.finish(ended, running.time_below());
     if matches!(end, UpstreamEnd::Answered { .. }) {
-        node.chain_edges_answered(kind, &running.deeper_kinds());
+        node.record_chain_edges(kind, &running.deeper_kinds());
     }
     let answer = Answer {
         retries_unspent: running.allowance.left(),
@@ -168,7 +168,7 @@
     if call.depth > 0 || objective.is_zero() || elapsed <= objective {
         return;
     }
-    let Some(left_out) = node.call_lines.take() else {
+    let Some(left_out) = node.call_log_limiter.try_acquire() else {
         return;
     };
     let run = handed_over.elapsed();
@@ -199,7 +199,7 @@
 }
 
 fn with_load(node: &Node, kind: WorkKind, answer: Answer) -> Answer {
-    let hint = node.admission_queue.hint(node.chain_level(kind));
+    let hint = node.admission_queue.hint(node.chain_shed_level(kind));
     Answer {
         hint: Some(hint),
         ..answer
@@ -215,7 +215,7 @@
     node.admission_queue
         .with_admission(|admission| admission.crashed(&mut ended, Instant::now()));
     log_event!(Event::UpstreamCrashed, running_count = ended.len());
-    node.signals.own_changed.notify_one();
+    node.signals.own_record_changed.notify_one();
 }
 
 async fn is_alive(address: std::net::SocketAddr) -> bool {
--- a/crates/hemlocktack-node/src/configuration/follow.rs
+++ b/crates/hemlocktack-node/src/configuration/follow.rs
@@ -18,7 +18,7 @@
 use tokio::time::MissedTickBehavior;
 
 use crate::interfaces;
-use crate::node::{Node, Place};
+use crate::node::{Node, NodeLocation};
 use crate::run::Result;
 
 const TICK_PERIOD: Duration = Duration::from_millis(100);
@@ -32,12 +32,12 @@
 /// What the task is told by other parts of the node and by its own questions.
 pub(crate) enum Event {
     /// A peer says that it has this generation in force.
-    Heard {
+    PeerGeneration {
         node_id: String,
         generation: Generation,
     },
     /// An operator's command on this node was stored.
-    StoredHere(ConfigurationDocument),
+    StoredLocally(ConfigurationDocument),
     PlatformAnswered(SeenConfiguration),
     RevisionGone,
     PlatformFailed,
@@ -109,14 +109,14 @@
     fn handle(&mut self, event: Event) {
         let now = Instant::now();
         let actions = match event {
-            Event::Heard {
+            Event::PeerGeneration {
                 node_id,
                 generation,
             } => {
                 self.in_force.hear(&node_id, generation);
                 self.in_force.tick(now, &self.view(), &mut self.rng)
             }
-            Event::StoredHere(document) => self.in_force.stored_here(document),
+            Event::StoredLocally(document) => self.in_force.stored_here(document),
             Event::PlatformAnswered(seen) => self.platform_answered(now, seen),
             Event::RevisionGone => {
                 self.in_force.revision_gone(now);
@@ -173,8 +173,8 @@
                 ConfigurationAction::AskPlatform { wait, .. } => self.ask_platform(wait),
                 ConfigurationAction::Pull { node_id, above } => self.pull(node_id, above),
                 ConfigurationAction::Install { document } => {
-                    self.node.take_configuration(document);
-                    self.node.signals.own_changed.notify_one();
+                    self.node.install_configuration(document);
+                    self.node.signals.own_record_changed.notify_one();
                 }
                 ConfigurationAction::ReportUnreadable { generation } => {
                     let fault = std::mem::take(&mut self.unreadable);
@@ -182,7 +182,7 @@
                 }
                 ConfigurationAction::CaughtUp => {
                     log_event!(LogEvent::NodeReady);
-                    self.node.live(|life, _| life.caught_up());
+                    self.node.update_lifecycle(|life, _| life.caught_up());
                 }
             }
         }
@@ -199,14 +199,14 @@
                 Ok(seen) => Event::PlatformAnswered(seen),
                 Err(Error::RevisionGone) => Event::RevisionGone,
                 Err(Error::Malformed { detail, .. }) => {
-                    if let Some(count) = node.unreadable_answers.count() {
+                    if let Some(count) = node.unreadable_answers.record() {
                         log_event!(LogEvent::PlatformUnreadable, detail, count);
                     }
                     Event::PlatformFailed
                 }
                 Err(_) => Event::PlatformFailed,
             };
-            node.tell_configuration(event);
+            node.send_configuration_event(event);
         });
     }
 
@@ -217,7 +217,7 @@
                 Some(document) => Event::PeerAnswered { node_id, document },
                 None => Event::PeerFailed { node_id },
             };
-            node.tell_configuration(event);
+            node.send_configuration_event(event);
         });
     }
 
@@ -252,7 +252,7 @@
 ) -> Option<ConfigurationDocument> {
     let members = node.members();
     let member = members.iter().find(|member| member.node_id == node_id)?;
-    let Place::There(peer) = node.place_of(member)? else {
+    let NodeLocation::Remote(peer) = node.locate(member)? else {
         return None;
     };
     let question = |query_id| {
--- a/crates/hemlocktack-node/src/configuration/mod.rs
+++ b/crates/hemlocktack-node/src/configuration/mod.rs
@@ -4,4 +4,4 @@
 mod relay;
 
 pub(crate) use follow::{Event, start};
-pub(crate) use relay::newer_than;
+pub(crate) use relay::answer_pull;
--- a/crates/hemlocktack-node/src/configuration/relay.rs
+++ b/crates/hemlocktack-node/src/configuration/relay.rs
@@ -6,8 +6,8 @@
 
 /// The document in force here if it is newer than what the asker has; else
 /// only the generation, so that the asker knows that it lacks nothing.
-pub(crate) fn newer_than(node: &Node, pull: ConfigurationPull) -> ConfigurationDocument {
-    let in_force = node.configuration_in_force();
+pub(crate) fn answer_pull(node: &Node, pull: ConfigurationPull) -> ConfigurationDocument {
+    let in_force = node.active_configuration();
     let Some(in_force) = in_force else {
         return ConfigurationDocument {
             query_id: pull.query_id,
--- a/crates/hemlocktack-node/src/counters.rs
+++ b/crates/hemlocktack-node/src/counters.rs
@@ -13,14 +13,14 @@
 /// Counts since the node's start.
 pub(crate) struct Counters {
     in_flight: Arc<AtomicU64>,
-    demanded: AtomicU64,
+    demand: AtomicU64,
     admitted: AtomicU64,
     ended_sends: [AtomicU64; NextStep::COUNT],
     refused: [AtomicU64; REASON_NUMBERS],
 }
 
 /// One call in flight; goes wherever its answer goes.
-pub(crate) struct CallInFlight {
+pub(crate) struct InFlightGuard {
     in_flight: Arc<AtomicU64>,
 }
 
@@ -28,7 +28,7 @@
     fn default() -> Self {
         Self {
             in_flight: Arc::default(),
-            demanded: AtomicU64::new(0),
+            demand: AtomicU64::new(0),
             admitted: AtomicU64::new(0),
             ended_sends: std::array::from_fn(|_| AtomicU64::new(0)),
             refused: std::array::from_fn(|_| AtomicU64::new(0)),
@@ -38,9 +38,9 @@
 
 impl Counters {
     /// Counts a call until the guard goes; a planned stop waits for all guards.
-    pub(crate) fn enter_call(&self) -> CallInFlight {
+    pub(crate) fn track_call(&self) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::AcqRel);
-        CallInFlight {
+        InFlightGuard {
             in_flight: self.in_flight.clone(),
         }
     }
@@ -50,16 +50,16 @@
     }
 
     /// A call reached the upstream side.
-    pub(crate) fn demanded(&self) {
-        self.demanded.fetch_add(1, Ordering::Relaxed);
+    pub(crate) fn record_demand(&self) {
+        self.demand.fetch_add(1, Ordering::Relaxed);
     }
 
-    pub(crate) fn demanded_count(&self) -> u64 {
-        self.demanded.load(Ordering::Relaxed)
+    pub(crate) fn demand_count(&self) -> u64 {
+        self.demand.load(Ordering::Relaxed)
     }
 
     /// A call got a slot of the upstream.
-    pub(crate) fn admitted(&self) {
+    pub(crate) fn record_admitted(&self) {
         self.admitted.fetch_add(1, Ordering::Relaxed);
     }
 
@@ -68,7 +68,7 @@
     }
 
     /// A send ended without an answer, and this followed.
-    pub(crate) fn send_ended(&self, next: NextStep) {
+    pub(crate) fn record_send_end(&self, next: NextStep) {
         self.ended_sends[next as usize].fetch_add(1, Ordering::Relaxed);
     }
 
@@ -81,7 +81,7 @@
     }
 
     /// The upstream side refused a call.
-    pub(crate) fn refused(&self, reason: Reason) {
+    pub(crate) fn record_refusal(&self, reason: Reason) {
         if let Some(count) = self.refused.get(reason as usize) {
             count.fetch_add(1, Ordering::Relaxed);
         }
@@ -106,7 +106,7 @@
     }
 }
 
-impl Drop for CallInFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.in_flight.fetch_sub(1, Ordering::AcqRel);
     }
--- a/crates/hemlocktack-node/src/gateway/announcements.rs
+++ b/crates/hemlocktack-node/src/gateway/announcements.rs
@@ -11,8 +11,8 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 
-use super::leaving::LeavingBody;
 use super::server::plain;
+use super::tracked_body::TrackedBody;
 use crate::node::Node;
 use crate::upstream::{Announcement, Speaker};
 
@@ -33,7 +33,7 @@
     node: Arc<Node>,
     interface: Interface,
     request: Request<Incoming>,
-) -> Response<LeavingBody> {
+) -> Response<TrackedBody> {
     let (head, body) = request.into_parts();
     if (interface.announcements.asks_readiness)(&head) {
         return plain(readiness(&node));
@@ -140,7 +140,7 @@
 
 fn leave(node: &Node) {
     node.upstream_starts().leave();
-    node.upstream_drains();
+    node.mark_upstream_draining();
 }
 
 fn announce(
@@ -150,7 +150,7 @@
     slots: u32,
     cold: bool,
 ) {
-    node.upstream_announced(Announcement {
+    node.apply_announcement(Announcement {
         // Only its own node reaches the upstream, under the address in the settings.
         address: node.settings.upstream_address.unwrap_or(address),
         slots,
--- a/crates/hemlocktack-node/src/gateway/classify.rs
+++ b/crates/hemlocktack-node/src/gateway/classify.rs
@@ -46,7 +46,7 @@
     path: &str,
     now: Instant,
 ) -> Result<Routed, Reason> {
-    let Some(in_force) = node.configuration_in_force() else {
+    let Some(in_force) = node.active_configuration() else {
         return Err(Reason::Starting);
     };
     let document = &in_force.document;
--- a/crates/hemlocktack-node/src/gateway/connection.rs
+++ b/crates/hemlocktack-node/src/gateway/connection.rs
@@ -16,7 +16,7 @@
 use tokio::net::TcpStream;
 
 use super::caller_socket::CallerSocket;
-use super::leaving::LeavingBody;
+use super::tracked_body::TrackedBody;
 use crate::node::Node;
 
 /// A connection without a request for this long gives its buffers back. Upstreams
@@ -44,7 +44,7 @@
 pub(super) async fn serve<H, F>(node: Arc<Node>, stream: TcpStream, handle: H)
 where
     H: Fn(Arc<Node>, Request<Incoming>) -> F + Copy + Send + Sync + 'static,
-    F: Future<Output = Response<LeavingBody>> + Send + 'static,
+    F: Future<Output = Response<TrackedBody>> + Send + 'static,
 {
     if stream.set_nodelay(true).is_err() {
         return;
@@ -107,7 +107,7 @@
 ) -> Option<CallerSocket>
 where
     H: Fn(Arc<Node>, Request<Incoming>) -> F + Copy + Send + Sync + 'static,
-    F: Future<Output = Response<LeavingBody>> + Send + 'static,
+    F: Future<Output = Response<TrackedBody>> + Send + 'static,
 {
     let traffic = socket.traffic();
     // Boxed as well: the library keeps room for it between two requests.
@@ -165,10 +165,10 @@
     node: Arc<Node>,
     request: Request<Incoming>,
     handle: H,
-) -> Response<LeavingBody>
+) -> Response<TrackedBody>
 where
     H: Fn(Arc<Node>, Request<Incoming>) -> F,
-    F: Future<Output = Response<LeavingBody>>,
+    F: Future<Output = Response<TrackedBody>>,
 {
     let mut response = handle(node.clone(), request).await;
     if node.is_stopping() {
--- a/crates/hemlocktack-node/src/gateway/headers.rs
+++ b/crates/hemlocktack-node/src/gateway/headers.rs
@@ -9,7 +9,7 @@
 
 /// The headers of a message that go on, but for those with one of the `dropped`
 /// names. The host goes on: upstreams of such interfaces read it.
-pub(crate) fn passed_on(headers: &HeaderMap, dropped: &[&str]) -> Vec<Header> {
+pub(crate) fn forwarded_headers(headers: &HeaderMap, dropped: &[&str]) -> Vec<Header> {
     let named = named_by_connection(headers);
     let mut passed = Vec::with_capacity(headers.len());
     for (name, value) in headers {
--- a/crates/hemlocktack-node/src/gateway/lines.rs
+++ b/crates/hemlocktack-node/src/gateway/lines.rs
@@ -38,7 +38,7 @@
         if self.is_answered {
             return;
         }
-        let Some(left_out) = self.node.call_lines.take() else {
+        let Some(left_out) = self.node.call_log_limiter.try_acquire() else {
             return;
         };
         log_event!(
@@ -52,7 +52,7 @@
 }
 
 pub(super) fn log_refused(node: &Node, entered: &Entered, answer: &Answer) {
-    let Some(left_out) = node.call_lines.take() else {
+    let Some(left_out) = node.call_log_limiter.try_acquire() else {
         return;
     };
     let outcome: &'static str = answer.outcome().into();
@@ -65,7 +65,7 @@
         reason,
         patience_ms,
         retry_after_ms = answer.retry_after_ms,
-        generation = node.generation_in_force(),
+        generation = node.active_generation(),
         left_out
     );
 }
@@ -78,7 +78,7 @@
     if !is_late || is_deeper || answer.outcome() != Outcome::Answered {
         return;
     }
-    let Some(left_out) = node.call_lines.take() else {
+    let Some(left_out) = node.call_log_limiter.try_acquire() else {
         return;
     };
     let objective = classified.objective.unwrap_or(started);
@@ -102,7 +102,7 @@
     outcome: Outcome,
     began: Instant,
 ) {
-    let Some(left_out) = node.limit_lines.take() else {
+    let Some(left_out) = node.drain_log_limiter.try_acquire() else {
         return;
     };
     let outcome: &'static str = outcome.into();
--- a/crates/hemlocktack-node/src/gateway/mod.rs
+++ b/crates/hemlocktack-node/src/gateway/mod.rs
@@ -10,15 +10,15 @@
 mod classify;
 mod connection;
 mod headers;
-mod leaving;
 mod lines;
 mod requests;
 mod server;
 mod start;
 #[cfg(test)]
 mod tests;
+mod tracked_body;
 mod unread_body;
 
-pub(crate) use headers::passed_on;
+pub(crate) use headers::forwarded_headers;
 pub(crate) use server::close;
 pub(crate) use start::start;
--- a/crates/hemlocktack-node/src/gateway/requests.rs
+++ b/crates/hemlocktack-node/src/gateway/requests.rs
@@ -12,12 +12,12 @@
 use hyper::body::{Body, Incoming};
 
 use super::classify::{Routed, find_route};
-use super::leaving::LeavingBody;
 use super::lines::{ReadRequest, log_ended_by_limit, log_late, log_refused};
+use super::tracked_body::TrackedBody;
 use super::unread_body::refuse_beside;
-use super::{passed_on, server};
+use super::{forwarded_headers, server};
 use crate::calls::{self, Classified, not_run, retry_after};
-use crate::counters::CallInFlight;
+use crate::counters::InFlightGuard;
 use crate::node::Node;
 use crate::telemetry::request_line;
 
@@ -26,8 +26,8 @@
     node: Arc<Node>,
     interface: Interface,
     request: Request<Incoming>,
-) -> Response<LeavingBody> {
-    let in_flight = node.enter_call();
+) -> Response<TrackedBody> {
+    let in_flight = node.track_call();
     let (head, mut body) = request.into_parts();
     let entered = match (interface.callers.read)(&head) {
         Ok(entered) => entered,
@@ -96,7 +96,7 @@
     let (outcome, reason) = (answer.outcome(), answer.reason());
     node.waits.entry.observe(span.elapsed());
     log_late(node, &classified, &answer, started);
-    node.entry_counts.ended(&service, outcome, reason);
+    node.entry_counts.record(&service, outcome, reason);
     span.end(&node.tracer, SpanEnd { outcome, reason }, || {
         request_line(head.method.as_str(), path)
     });
@@ -114,7 +114,7 @@
     let body = tokio::select! {
         biased;
         body = read_body(body, routed) => body?,
-        () = node.signals.limit_reached.cancelled() => {
+        () = node.signals.drain_limit_reached.cancelled() => {
             log_ended_by_limit(node, entered, None, Outcome::NotRun, began);
             return Err(Reason::Draining);
         }
@@ -135,7 +135,7 @@
     tokio::select! {
         biased;
         answer = calls::run_placed(node, classified) => answer,
-        () = node.signals.limit_reached.cancelled() => {
+        () = node.signals.drain_limit_reached.cancelled() => {
             let answer = classified.sends.early_end(Reason::Draining);
             let waiting = classified.sends.waiting();
             log_ended_by_limit(node, entered, waiting, answer.outcome(), began);
@@ -169,12 +169,12 @@
 fn headers(node: &Node, interface: Interface, head: &request::Parts) -> Vec<Header> {
     let origin = (interface.callers.origin_headers)(&node.settings.service);
     let own: Vec<&str> = origin.iter().map(|header| header.name.as_str()).collect();
-    let mut headers = passed_on(&head.headers, &own);
+    let mut headers = forwarded_headers(&head.headers, &own);
     headers.extend(origin);
     headers
 }
 
-fn refuse(interface: Interface, request_id: String, answer: Answer) -> Response<LeavingBody> {
+fn refuse(interface: Interface, request_id: String, answer: Answer) -> Response<TrackedBody> {
     let refused = Refused {
         request_id,
         outcome: answer.outcome(),
@@ -190,8 +190,8 @@
     wait.max(LEAST)
 }
 
-fn respond(answer: Answer, in_flight: CallInFlight) -> Response<LeavingBody> {
-    let body = LeavingBody::new(Full::new(answer.body), Some(in_flight));
+fn respond(answer: Answer, in_flight: InFlightGuard) -> Response<TrackedBody> {
+    let body = TrackedBody::new(Full::new(answer.body), Some(in_flight));
     let mut response = Response::new(body);
     let status = u16::try_from(answer.status).ok();
     let status = status.and_then(|status| StatusCode::from_u16(status).ok());
--- a/crates/hemlocktack-node/src/gateway/server.rs
+++ b/crates/hemlocktack-node/src/gateway/server.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpListener;
 
 use super::connection;
-use super::leaving::LeavingBody;
+use super::tracked_body::TrackedBody;
 use crate::node::Node;
 
 /// Pause after a failed accept: out of file descriptors, say, asking again at
@@ -29,7 +29,7 @@
 pub(super) async fn serve<H, F>(node: Arc<Node>, listener: TcpListener, handle: H)
 where
     H: Fn(Arc<Node>, Request<Incoming>) -> F + Copy + Send + Sync + 'static,
-    F: Future<Output = Response<LeavingBody>> + Send + 'static,
+    F: Future<Output = Response<TrackedBody>> + Send + 'static,
 {
     // Waited for as connections are: none begins when none is left.
     let _waited_for = node.connections.token();
@@ -64,7 +64,7 @@
     }
     let in_flight = node.counters.in_flight();
     log_event!(Event::DrainLimitReached, in_flight);
-    node.signals.limit_reached.cancel();
+    node.signals.drain_limit_reached.cancel();
     connections_end_within(node, LAST_ANSWERS_TIME).await;
 }
 
@@ -74,6 +74,6 @@
 }
 
 /// A short answer of the node itself.
-pub(super) fn plain(response: Response<Bytes>) -> Response<LeavingBody> {
-    response.map(|body| LeavingBody::new(Full::new(body), None))
+pub(super) fn plain(response: Response<Bytes>) -> Response<TrackedBody> {
+    response.map(|body| TrackedBody::new(Full::new(body), None))
 }
--- a/crates/hemlocktack-node/src/gateway/tests.rs
+++ b/crates/hemlocktack-node/src/gateway/tests.rs
@@ -20,7 +20,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, UnixStream};
 
-use super::leaving::LeavingBody;
+use super::tracked_body::TrackedBody;
 use super::{requests, server};
 use crate::interfaces;
 use crate::node::Node;
@@ -63,7 +63,7 @@
     async fn start_placing() -> Self {
         let handle = |node, request| requests::answer(node, interface(), request);
         let served = Self::start_with(handle, Box::leak(Box::default())).await;
-        served.node.take_configuration(ConfigurationDocument {
+        served.node.install_configuration(ConfigurationDocument {
             generation: 1,
             ..ConfigurationDocument::default()
         });
@@ -73,7 +73,7 @@
     async fn start_with<H, F>(handle: H, read_count: &'static AtomicUsize) -> Self
     where
         H: Fn(Arc<Node>, Request<Incoming>) -> F + Copy + Send + Sync + 'static,
-        F: Future<Output = Response<LeavingBody>> + Send + 'static,
+        F: Future<Output = Response<TrackedBody>> + Send + 'static,
     {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
--- a/crates/hemlocktack-node/src/gateway/leaving.rs
+++ b/crates/hemlocktack-node/src/gateway/tracked_body.rs
@@ -7,17 +7,17 @@
 use http_body_util::Full;
 use hyper::body::{Body, Frame, SizeHint};
 
-use crate::counters::CallInFlight;
+use crate::counters::InFlightGuard;
 
 /// Body of an answer; its call stays in flight until the HTTP library has
 /// taken all of it or has dropped it because the caller is gone.
-pub(super) struct LeavingBody {
+pub(super) struct TrackedBody {
     body: Full<Bytes>,
-    _in_flight: Option<CallInFlight>,
+    _in_flight: Option<InFlightGuard>,
 }
 
-impl LeavingBody {
-    pub(super) fn new(body: Full<Bytes>, in_flight: Option<CallInFlight>) -> Self {
+impl TrackedBody {
+    pub(super) fn new(body: Full<Bytes>, in_flight: Option<InFlightGuard>) -> Self {
         Self {
             body,
             _in_flight: in_flight,
@@ -25,7 +25,7 @@
     }
 }
 
-impl Body for LeavingBody {
+impl Body for TrackedBody {
     type Data = Bytes;
     type Error = std::convert::Infallible;
 
--- a/crates/hemlocktack-node/src/gateway/unread_body.rs
+++ b/crates/hemlocktack-node/src/gateway/unread_body.rs
@@ -5,16 +5,16 @@
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 
-use super::leaving::LeavingBody;
-use crate::refused_body::take_for_a_while;
+use super::tracked_body::TrackedBody;
+use crate::refused_body::discard_with_timeout;
 
 /// Lets the caller send the rest of its body beside the refusal; the connection is
 /// closed after that.
 pub(super) fn refuse_beside(
-    mut refusal: Response<LeavingBody>,
+    mut refusal: Response<TrackedBody>,
     head: &request::Parts,
     body: Incoming,
-) -> Response<LeavingBody> {
+) -> Response<TrackedBody> {
     if body.is_end_stream() {
         return refusal;
     }
@@ -22,7 +22,7 @@
     refusal.headers_mut().insert(CONNECTION, close);
     // A caller that waits for leave to send its body gets the refusal in its place.
     if !head.headers.contains_key(EXPECT) {
-        tokio::spawn(take_for_a_while(take_rest(body)));
+        tokio::spawn(discard_with_timeout(take_rest(body)));
     }
     refusal
 }
--- a/crates/hemlocktack-node/src/handover/give.rs
+++ b/crates/hemlocktack-node/src/handover/give.rs
@@ -8,7 +8,7 @@
 use hemlocktack_protocol::{Handover, NodeState, frame};
 
 use crate::links::Peer;
-use crate::node::{Node, Place};
+use crate::node::{Node, NodeLocation};
 
 /// A part is a quarter of a megabyte at most; a successor that does not accept
 /// it within this time is left for another.
@@ -62,8 +62,8 @@
         .iter()
         .filter(|peer| peer.member.state() == NodeState::Ready && peer.identity != node.identity);
     let mut successors: Vec<_> = ready
-        .filter_map(|peer| match node.place_of(&peer.member) {
-            Some(Place::There(there)) => Some(Successor {
+        .filter_map(|peer| match node.locate(&peer.member) {
+            Some(NodeLocation::Remote(there)) => Some(Successor {
                 name: peer.identity.clone(),
                 peer: there,
             }),
--- a/crates/hemlocktack-node/src/links/dial.rs
+++ b/crates/hemlocktack-node/src/links/dial.rs
@@ -51,7 +51,7 @@
             return Some(connection);
         }
         let stream = TcpStream::connect(**link.address.load()).await.ok()?;
-        sockets::prepare_to_ask(&stream).ok()?;
+        sockets::configure_sender(&stream).ok()?;
         let opened = handshake::dial(stream, &self.own, &link.node_id, &self.keys).await;
         if let Err(handshake::Error::OtherNode(found)) = &opened {
             self.log_other_node(link, found);
@@ -74,7 +74,7 @@
     }
 
     fn log_other_node(&self, link: &Link, found: &NodeIncarnation) {
-        let Some(found_count) = self.address_mismatches.count() else {
+        let Some(found_count) = self.address_mismatches.record() else {
             return;
         };
         log_event!(
--- a/crates/hemlocktack-node/src/links/incoming.rs
+++ b/crates/hemlocktack-node/src/links/incoming.rs
@@ -35,7 +35,7 @@
 }
 
 async fn serve_link(node: Arc<Node>, stream: TcpStream) {
-    if sockets::prepare(&stream).is_err() {
+    if sockets::configure(&stream).is_err() {
         return;
     }
     let Some(open) = open_link(&node, stream).await else {
@@ -68,7 +68,7 @@
         Ok(Err(error)) => error,
         Err(_) => handshake::Error::Timeout,
     };
-    if let Some(refused_count) = node.link_refusals.count() {
+    if let Some(refused_count) = node.link_refusals.record() {
         log_event!(Event::LinkRefused, %address, %error, refused_count);
     }
     None
@@ -113,7 +113,7 @@
     let Some(cancelled) = node.senders.begin_call(sender, call.call_id, connection) else {
         return;
     };
-    let in_flight = node.enter_call();
+    let in_flight = node.track_call();
     let node = node.clone();
     let sender = sender.clone();
     tokio::spawn(async move {
@@ -155,7 +155,7 @@
 }
 
 fn log_undelivered(node: &Node, sender: &Sender, call_id: CallId, request_id: &str) {
-    let Some(left_out) = node.call_lines.take() else {
+    let Some(left_out) = node.call_log_limiter.try_acquire() else {
         return;
     };
     log_event!(
--- a/crates/hemlocktack-node/src/links/outgoing.rs
+++ b/crates/hemlocktack-node/src/links/outgoing.rs
@@ -18,7 +18,7 @@
 use super::connection::Connection;
 use super::dial::Link;
 use super::pending::{CallEvent, EVENTS_A_CALL, PendingCall};
-use crate::telemetry::LogLimit;
+use crate::telemetry::LogThrottle;
 
 /// A link that broke by itself is back within a few of these waits. A peer that
 /// was killed never is, and its callers must not wait for that: an idempotent
@@ -70,7 +70,7 @@
     next_call_id: AtomicU64,
     pub(super) next_query_id: AtomicU64,
     pub(super) queries: super::queries::PendingQueries,
-    pub(super) address_mismatches: LogLimit,
+    pub(super) address_mismatches: LogThrottle,
 }
 
 impl Links {
@@ -82,7 +82,7 @@
             next_call_id: AtomicU64::new(1),
             next_query_id: AtomicU64::new(1),
             queries: super::queries::PendingQueries::default(),
-            address_mismatches: LogLimit::default(),
+            address_mismatches: LogThrottle::default(),
         }
     }
 
--- a/crates/hemlocktack-node/src/links/questions.rs
+++ b/crates/hemlocktack-node/src/links/questions.rs
@@ -21,13 +21,13 @@
             spans: telemetry::spans_of(node, &pull.trace_id),
         }),
         frame::Body::DrainOrder(order) => {
-            node.order_stop();
+            node.request_stop();
             frame::Body::DrainOrderAccepted(DrainOrderAccepted {
                 query_id: order.query_id,
             })
         }
         frame::Body::ConfigurationPull(pull) => {
-            frame::Body::Configuration(configuration::newer_than(node, pull))
+            frame::Body::Configuration(configuration::answer_pull(node, pull))
         }
         _ => return,
     };
--- a/crates/hemlocktack-node/src/node/configuration.rs
+++ b/crates/hemlocktack-node/src/node/configuration.rs
@@ -20,7 +20,7 @@
 /// Connections that an upstream is taken to accept where nobody says.
 const CONNECTION_LIMIT_UNSAID: u32 = 1_000;
 /// The configuration that decides about calls now.
-pub(crate) struct InForce {
+pub(crate) struct ActiveConfiguration {
     pub(crate) generation: Generation,
     pub(crate) document: Document,
     /// As it is stored, for nodes that lack it.
@@ -34,13 +34,13 @@
 const KEPT_TO_PERCENT: u32 = 80;
 
 impl Node {
-    pub(crate) fn configuration_in_force(&self) -> Option<Arc<InForce>> {
-        self.in_force.load_full()
+    pub(crate) fn active_configuration(&self) -> Option<Arc<ActiveConfiguration>> {
+        self.active_configuration.load_full()
     }
 
     /// Puts a higher generation in force; a lower or equal one is left aside.
     /// The task that follows the configuration has found that it can be read.
-    pub(crate) fn take_configuration(&self, stored: ConfigurationDocument) {
+    pub(crate) fn install_configuration(&self, stored: ConfigurationDocument) {
         let document = match self.read_configuration(&stored.document) {
             Ok(document) => document,
             Err(fault) => {
@@ -49,12 +49,12 @@
                 return;
             }
         };
-        let next = Arc::new(InForce {
+        let next = Arc::new(ActiveConfiguration {
             generation: stored.generation,
             document,
             stored,
         });
-        let before = self.in_force.rcu(|current| match current {
+        let before = self.active_configuration.rcu(|current| match current {
             Some(current) if current.generation >= next.generation => Some(current.clone()),
             _ => Some(next.clone()),
         });
@@ -71,14 +71,14 @@
         }
     }
 
-    fn configuration_changed(&self, in_force: &InForce) {
+    fn configuration_changed(&self, in_force: &ActiveConfiguration) {
         let generation = in_force.generation;
         log_event!(Event::ConfigurationInForce, generation);
         self.entry_counts.declare(&in_force.document);
-        self.take_limits(&in_force.document);
+        self.apply_limits(&in_force.document);
     }
 
-    pub(super) fn take_limits(&self, document: &Document) {
+    pub(super) fn apply_limits(&self, document: &Document) {
         let limits = &document.limits;
         self.tracer
             .set_sample_per_million(limits.trace_sample_per_million);
@@ -90,7 +90,7 @@
         if self.adjustable().stop_grace.is_none() {
             // Covers the most patient caller, which the node's own setting may not.
             let drain_limit = Duration::from_millis(limits.drain_limit_ms);
-            self.live(|life, _| {
+            self.update_lifecycle(|life, _| {
                 life.set_hard_limit(drain_limit);
                 Vec::new()
             });
@@ -121,7 +121,7 @@
 
     /// Classes that the configuration in force declares.
     pub(crate) fn class_count(&self) -> usize {
-        let in_force = self.in_force.load();
+        let in_force = self.active_configuration.load();
         in_force
             .as_ref()
             .map_or(0, |in_force| in_force.document.classes.len())
@@ -134,7 +134,7 @@
 
     /// What callers may send and how long they may take.
     pub(crate) fn client_limits(&self) -> ClientLimits {
-        let in_force = self.in_force.load();
+        let in_force = self.active_configuration.load();
         let declared = in_force.as_ref();
         declared.map_or_else(ClientLimits::default, |in_force| {
             in_force.document.client_limits
@@ -165,19 +165,19 @@
 
     /// What the configuration in force says of a service that it declares.
     fn of_service<T>(&self, name: &str, read: impl FnOnce(&Service) -> T) -> Option<T> {
-        let in_force = self.in_force.load();
+        let in_force = self.active_configuration.load();
         let service = in_force.as_ref()?.document.service(name)?;
         Some(read(service))
     }
 
-    pub(crate) fn generation_in_force(&self) -> Generation {
-        let in_force = self.in_force.load();
+    pub(crate) fn active_generation(&self) -> Generation {
+        let in_force = self.active_configuration.load();
         in_force.as_ref().map_or(0, |in_force| in_force.generation)
     }
 
     /// Tells the task that follows the configuration. An event that finds its
     /// queue full is dropped: the task asks again.
-    pub(crate) fn tell_configuration(&self, event: configuration::Event) {
+    pub(crate) fn send_configuration_event(&self, event: configuration::Event) {
         let _ = self.configuration_events.try_send(event);
     }
 
--- a/crates/hemlocktack-node/src/node/life.rs
+++ b/crates/hemlocktack-node/src/node/lifecycle.rs
@@ -14,19 +14,19 @@
 
 impl Node {
     /// An operator wants this node to drain and stop; once is enough.
-    pub(crate) fn order_stop(&self) {
-        self.stop_order.notify_one();
+    pub(crate) fn request_stop(&self) {
+        self.stop_request.notify_one();
     }
 
     /// Ends when an operator has ordered the stop.
-    pub(crate) async fn stop_ordered(&self) {
-        self.stop_order.notified().await;
+    pub(crate) async fn stop_requested(&self) {
+        self.stop_request.notified().await;
     }
 
     /// Takes nothing new for the upstream from now on.
     pub(crate) fn begin_stop(&self) {
         let _ = self.stop_began.set(Instant::now());
-        self.live(|life, now| life.drain(now));
+        self.update_lifecycle(|life, now| life.drain(now));
     }
 
     /// Time left of a planned stop for calls in flight; none before it begins.
@@ -70,7 +70,7 @@
 
     /// Lets something happen in the life of this node; what it publishes then
     /// is told to members at once.
-    pub(crate) fn live(
+    pub(crate) fn update_lifecycle(
         &self,
         change: impl FnOnce(&mut Life, Instant) -> Vec<LifeAction>,
     ) -> Vec<LifeAction> {
@@ -79,7 +79,7 @@
         for action in &actions {
             if let LifeAction::Publish(publication) = action {
                 self.publication.store(Arc::new(*publication));
-                self.signals.own_changed.notify_one();
+                self.signals.own_record_changed.notify_one();
             }
         }
         actions
--- a/crates/hemlocktack-node/src/node/members.rs
+++ b/crates/hemlocktack-node/src/node/members.rs
@@ -13,9 +13,9 @@
 use crate::links::Peer;
 
 /// Where a member is reached.
-pub(crate) enum Place {
-    Here,
-    There(Peer),
+pub(crate) enum NodeLocation {
+    Local,
+    Remote(Peer),
 }
 
 impl Node {
@@ -87,12 +87,12 @@
     }
 
     /// Where a member is reached; `None` if its address cannot be read.
-    pub(crate) fn place_of(&self, member: &Member) -> Option<Place> {
+    pub(crate) fn locate(&self, member: &Member) -> Option<NodeLocation> {
         if *member.node_id == *self.identity.node_id {
-            return Some(Place::Here);
+            return Some(NodeLocation::Local);
         }
         let link_address: SocketAddr = member.link_address.parse().ok()?;
-        Some(Place::There(Peer {
+        Some(NodeLocation::Remote(Peer {
             node_id: member.node_id.as_str().into(),
             link_address,
         }))
--- a/crates/hemlocktack-node/src/node/mod.rs
+++ b/crates/hemlocktack-node/src/node/mod.rs
@@ -1,15 +1,15 @@
 //! State that all parts of a node share, by what each part of it is for.
 
 mod configuration;
-mod life;
+mod lifecycle;
 mod members;
 mod policies;
 #[cfg(test)]
 mod tests;
 mod upstream;
 
-pub(crate) use configuration::InForce;
-pub(crate) use members::Place;
+pub(crate) use configuration::ActiveConfiguration;
+pub(crate) use members::NodeLocation;
 pub(crate) use policies::DRAIN_SETTLE;
 
 use std::net::SocketAddr;
@@ -32,12 +32,12 @@
 
 use crate::calls::{AdmissionQueue, ContextTable, Home, ServiceDirectory};
 use crate::configuration as follower;
-use crate::counters::{CallInFlight, Counters};
+use crate::counters::{Counters, InFlightGuard};
 use crate::interfaces;
 use crate::links::{Links, Senders};
 use crate::peers::GossipCounts;
 use crate::settings::{AdjustableSettings, Settings};
-use crate::telemetry::{EntryCounts, LineBudget, LogLimit, Waits};
+use crate::telemetry::{EntryCounts, LogRateLimiter, LogThrottle, Waits};
 use crate::upstream::{Announcement, UpstreamClient, UpstreamStarts};
 
 /// One start of one node.
@@ -57,24 +57,24 @@
     pub(crate) home: Home,
     pub(crate) services: ServiceDirectory,
     pub(crate) counters: Counters,
-    pub(crate) operator_refusals: LogLimit,
-    pub(crate) unreadable_answers: LogLimit,
-    pub(crate) link_refusals: LogLimit,
-    pub(crate) datagram_refusals: LogLimit,
+    pub(crate) operator_refusals: LogThrottle,
+    pub(crate) unreadable_answers: LogThrottle,
+    pub(crate) link_refusals: LogThrottle,
+    pub(crate) datagram_refusals: LogThrottle,
     /// Log lines about single calls.
-    pub(crate) call_lines: LineBudget,
+    pub(crate) call_log_limiter: LogRateLimiter,
     /// The same about those that the drain's limit ends.
-    pub(crate) limit_lines: LineBudget,
+    pub(crate) drain_log_limiter: LogRateLimiter,
     pub(crate) tracer: Tracer,
     pub(crate) waits: Waits,
     pub(crate) entry_counts: EntryCounts,
     /// Connections of an interface's callers.
     pub(crate) connections: TaskTracker,
-    stop_order: Notify,
+    stop_request: Notify,
     stop_began: OnceLock<Instant>,
     receiving: Mutex<Receiving>,
     chain_edges: Mutex<ChainEdges>,
-    in_force: ArcSwapOption<InForce>,
+    active_configuration: ArcSwapOption<ActiveConfiguration>,
     members: ArcSwap<Vec<Member>>,
     /// Gossip addresses to try where nobody else is known.
     pub(crate) seeds: ArcSwap<Vec<SocketAddr>>,
@@ -94,15 +94,15 @@
 #[derive(Default)]
 pub(crate) struct Signals {
     /// The own record or the generation in force has changed.
-    pub(crate) own_changed: Notify,
+    pub(crate) own_record_changed: Notify,
     /// Gossip addresses of others have been read from the platform.
     pub(crate) seeds_changed: Notify,
     /// Members have been told that this node has left.
-    pub(crate) left_told: Notify,
+    pub(crate) leave_announced: Notify,
     /// No request is taken any more: callers' connections end with what is on them.
     pub(crate) closing: CancellationToken,
     /// The drain's limit has come: callers are told what is known by now.
-    pub(crate) limit_reached: CancellationToken,
+    pub(crate) drain_limit_reached: CancellationToken,
     /// The node has stopped: its tasks end.
     pub(crate) stopped: CancellationToken,
 }
@@ -142,17 +142,17 @@
             services: ServiceDirectory::new(settings.data_centre.clone()),
             admission_queue: Arc::new(AdmissionQueue::new(policies::admission_policy(&settings))),
             counters: Counters::default(),
-            operator_refusals: LogLimit::default(),
-            unreadable_answers: LogLimit::default(),
-            link_refusals: LogLimit::default(),
-            datagram_refusals: LogLimit::default(),
-            call_lines: LineBudget::default(),
-            limit_lines: LineBudget::default(),
+            operator_refusals: LogThrottle::default(),
+            unreadable_answers: LogThrottle::default(),
+            link_refusals: LogThrottle::default(),
+            datagram_refusals: LogThrottle::default(),
+            call_log_limiter: LogRateLimiter::default(),
+            drain_log_limiter: LogRateLimiter::default(),
             tracer,
             waits: Waits::default(),
             entry_counts: EntryCounts::default(),
             connections: TaskTracker::new(),
-            stop_order: Notify::new(),
+            stop_request: Notify::new(),
             stop_began: OnceLock::new(),
             receiving: Mutex::new(Receiving::new(HandoverLimits::default())),
             chain_edges: Mutex::default(),
@@ -163,7 +163,7 @@
             senders: Senders::default(),
             contexts: ContextTable::default(),
             upstream_client,
-            in_force: ArcSwapOption::empty(),
+            active_configuration: ArcSwapOption::empty(),
             members: ArcSwap::default(),
             upstream: ArcSwapOption::empty(),
             upstream_starts: Mutex::default(),
@@ -180,12 +180,12 @@
         self.adjustable.store(Arc::new(adjustable.clone()));
         self.platform.set_rates(adjustable.platform_rates);
         let drain_limit = policies::drain_limit(adjustable);
-        self.live(|life, _| {
+        self.update_lifecycle(|life, _| {
             life.set_hard_limit(drain_limit);
             Vec::new()
         });
-        if let Some(in_force) = self.configuration_in_force() {
-            self.take_limits(&in_force.document);
+        if let Some(active_configuration) = self.active_configuration() {
+            self.apply_limits(&active_configuration.document);
         }
         let mut seeds = Vec::clone(&self.seeds.load());
         let is_new = |seed: &&SocketAddr| !seeds.contains(seed);
@@ -196,8 +196,8 @@
     }
 
     /// Counts a call as in flight until the guard goes.
-    pub(crate) fn enter_call(&self) -> CallInFlight {
-        self.counters.enter_call()
+    pub(crate) fn track_call(&self) -> InFlightGuard {
+        self.counters.track_call()
     }
 }
 
--- a/crates/hemlocktack-node/src/node/upstream.rs
+++ b/crates/hemlocktack-node/src/node/upstream.rs
@@ -19,8 +19,8 @@
     }
 
     /// Takes an announcement; calls go to the announced address from then on.
-    pub(crate) fn upstream_announced(&self, announcement: Announcement) {
-        self.live(|life, now| {
+    pub(crate) fn apply_announcement(&self, announcement: Announcement) {
+        self.update_lifecycle(|life, now| {
             let before = self.upstream.load();
             let is_other_start = before
                 .as_ref()
@@ -44,15 +44,15 @@
     /// that are not there until their callers give up. They are refused as soon
     /// as the announcement has lapsed, while another node may still answer them.
     pub(crate) fn check_upstream(&self) {
-        self.live(|life, now| {
+        self.update_lifecycle(|life, now| {
             let actions = life.check_upstream(now);
             self.admission_follows(life, now);
             actions
         });
     }
 
-    pub(crate) fn upstream_drains(&self) {
-        self.live(|life, now| {
+    pub(crate) fn mark_upstream_draining(&self) {
+        self.update_lifecycle(|life, now| {
             let actions = life.drain_upstream();
             self.admission_follows(life, now);
             actions
@@ -79,7 +79,7 @@
     }
 
     /// Learns which kinds of deeper calls an answered call of `kind` made.
-    pub(crate) fn chain_edges_answered(&self, kind: WorkKind, deeper: &[WorkKind]) {
+    pub(crate) fn record_chain_edges(&self, kind: WorkKind, deeper: &[WorkKind]) {
         self.chain_edges
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -87,7 +87,7 @@
     }
 
     /// Strictest shed level among the services that calls of `kind` go on to.
-    pub(crate) fn chain_level(&self, kind: WorkKind) -> ShedLevel {
+    pub(crate) fn chain_shed_level(&self, kind: WorkKind) -> ShedLevel {
         let edges = self
             .chain_edges
             .lock()
--- a/crates/hemlocktack-node/src/operators/authorise.rs
+++ b/crates/hemlocktack-node/src/operators/authorise.rs
@@ -16,7 +16,7 @@
     if token.is_some_and(|token| is_operators_token(&node.adjustable(), token)) {
         return Ok(());
     }
-    if let Some(refused_count) = node.operator_refusals.count() {
+    if let Some(refused_count) = node.operator_refusals.record() {
         let method = method.escape_debug();
         log_event!(Event::OperatorRefused, %method, refused_count);
     }
--- a/crates/hemlocktack-node/src/operators/commands/apply_configuration.rs
+++ b/crates/hemlocktack-node/src/operators/commands/apply_configuration.rs
@@ -34,7 +34,7 @@
         applied.map_err(|error| Failure::of_platform(&error))?,
         &change,
     )?;
-    node.tell_configuration(configuration::Event::StoredHere(ConfigurationDocument {
+    node.send_configuration_event(configuration::Event::StoredLocally(ConfigurationDocument {
         generation: response.generation,
         change_id: change.change_id.clone(),
         author: change.author.clone(),
--- a/crates/hemlocktack-node/src/operators/commands/drain_node.rs
+++ b/crates/hemlocktack-node/src/operators/commands/drain_node.rs
@@ -17,7 +17,7 @@
 ) -> Result<DrainNodeResponse> {
     let node_id = request.node_id;
     if *node_id == *node.identity.node_id {
-        node.order_stop();
+        node.request_stop();
         return Ok(answer(&node_id, NodeState::Draining));
     }
     let members = node.members();
--- a/crates/hemlocktack-node/src/operators/fan_out.rs
+++ b/crates/hemlocktack-node/src/operators/fan_out.rs
@@ -7,7 +7,7 @@
 use tokio::sync::Semaphore;
 use tokio::task::JoinSet;
 
-use crate::node::{Node, Place};
+use crate::node::{Node, NodeLocation};
 
 /// Below the command line's timeout, so that the operator gets the answers of
 /// those that did answer.
@@ -70,7 +70,7 @@
     member: &Member,
     question: impl FnOnce(u64) -> frame::Body,
 ) -> Option<frame::Body> {
-    let Place::There(peer) = node.place_of(member)? else {
+    let NodeLocation::Remote(peer) = node.locate(member)? else {
         return None;
     };
     let deadline = Instant::now() + ANSWER_TIMEOUT;
--- a/crates/hemlocktack-node/src/operators/queries/show_configuration.rs
+++ b/crates/hemlocktack-node/src/operators/queries/show_configuration.rs
@@ -25,7 +25,7 @@
 async fn newest(node: &Node) -> Result<Option<ConfigurationDocument>> {
     let store = ConfigurationStore::new(node.platform.clone());
     let newest = store.read_newest().await.map_err(|error| {
-        let in_force = node.configuration_in_force();
+        let in_force = node.active_configuration();
         let generation = in_force.map_or(0, |in_force| in_force.generation);
         Failure::of_platform(&error).with_current_generation(generation)
     })?;
@@ -34,7 +34,7 @@
 
 /// A generation never changes, so the one in force needs no platform.
 async fn one(node: &Node, generation: Generation) -> Result<ConfigurationDocument> {
-    if let Some(in_force) = node.configuration_in_force()
+    if let Some(in_force) = node.active_configuration()
         && in_force.generation == generation
     {
         return Ok(in_force.stored.clone());
--- a/crates/hemlocktack-node/src/peers/gossip.rs
+++ b/crates/hemlocktack-node/src/peers/gossip.rs
@@ -75,7 +75,7 @@
                 }
                 _ = ticks.tick() => self.tick().await,
                 () = node.signals.seeds_changed.notified() => self.tick().await,
-                () = node.signals.own_changed.notified() => {
+                () = node.signals.own_record_changed.notified() => {
                     self.tell_own().await;
                     self.tell_suspects().await;
                 }
@@ -145,11 +145,11 @@
             .membership
             .update_tickets(epoch, successions, &mut self.rng);
         self.act(actions).await;
-        let generation = self.node.generation_in_force();
+        let generation = self.node.active_generation();
         let actions = self.membership.set_generation(generation, &mut self.rng);
         self.act(actions).await;
         if publication.state == NodeState::Left {
-            self.node.signals.left_told.notify_one();
+            self.node.signals.leave_announced.notify_one();
         }
     }
 
@@ -174,14 +174,16 @@
                 Action::GenerationHeard {
                     node_id,
                     generation,
-                } => self.node.tell_configuration(configuration::Event::Heard {
-                    node_id,
-                    generation,
-                }),
+                } => self
+                    .node
+                    .send_configuration_event(configuration::Event::PeerGeneration {
+                        node_id,
+                        generation,
+                    }),
                 Action::SuspectsHeard { suspects } => self.learn(&suspects),
                 Action::Superseded { by } => {
                     log_event!(Event::RecordReplaced, by_incarnation = by);
-                    self.node.order_stop();
+                    self.node.request_stop();
                 }
             }
         }
@@ -226,7 +228,7 @@
 }
 
 fn log_refused(node: &Node, address: SocketAddr, reason: DatagramError) {
-    if let Some(refused_count) = node.datagram_refusals.count() {
+    if let Some(refused_count) = node.datagram_refusals.record() {
         log_event!(Event::DatagramRefused, %address, %reason, refused_count);
     }
 }
--- a/crates/hemlocktack-node/src/peers/records.rs
+++ b/crates/hemlocktack-node/src/peers/records.rs
@@ -63,7 +63,7 @@
         Ok(Publication::Published) => true,
         Ok(Publication::Replaced { by_incarnation }) => {
             log_event!(Event::RecordReplaced, by_incarnation);
-            node.order_stop();
+            node.request_stop();
             true
         }
         Err(_) => false,
@@ -104,7 +104,7 @@
     if unreadable == 0 {
         return;
     }
-    if let Some(count) = node.unreadable_answers.count() {
+    if let Some(count) = node.unreadable_answers.record() {
         let detail = format!("{unreadable} records of nodes cannot be read");
         log_event!(Event::PlatformUnreadable, detail, count);
     }
--- a/crates/hemlocktack-node/src/refused_body.rs
+++ b/crates/hemlocktack-node/src/refused_body.rs
@@ -9,6 +9,6 @@
 ///
 /// Failure: a connection that is closed with bytes unread is reset, and the reset
 /// takes the refusal away from a caller that reads it once all is sent.
-pub(crate) async fn take_for_a_while(rest_taken: impl Future) {
+pub(crate) async fn discard_with_timeout(rest_taken: impl Future) {
     let _ = tokio::time::timeout(REST_TAKEN_FOR, rest_taken).await;
 }
--- a/crates/hemlocktack-node/src/reload.rs
+++ b/crates/hemlocktack-node/src/reload.rs
@@ -7,7 +7,7 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
 use crate::node::Node;
-use crate::settings::{FileContents, Loaded, Sources};
+use crate::settings::{FileContents, LoadedSettings, Sources};
 
 /// How often the settings file is compared with what was read last: a change
 /// without a signal is in force about as soon as a new configuration.
@@ -19,7 +19,7 @@
 /// Failure: the platform tells all nodes that a settings file has changed, and
 /// the default of the signal ends them with their callers' requests. A file
 /// that cannot be used leaves what is in force.
-pub(crate) async fn follow_settings(node: Arc<Node>, sources: Sources, mut loaded: Loaded) {
+pub(crate) async fn follow_settings(node: Arc<Node>, sources: Sources, mut loaded: LoadedSettings) {
     let Ok(mut reload) = signal(SignalKind::hangup()) else {
         return;
     };
@@ -66,7 +66,7 @@
     }
 }
 
-fn adopt(node: &Node, read: &Loaded, before: &Loaded) {
+fn adopt(node: &Node, read: &LoadedSettings, before: &LoadedSettings) {
     node.adjust(&read.adjustable);
     let changes = read.changes_since(before);
     log_event!(
--- a/crates/hemlocktack-node/src/run.rs
+++ b/crates/hemlocktack-node/src/run.rs
@@ -15,7 +15,7 @@
 use tokio::net::TcpListener;
 
 use crate::node::Node;
-use crate::settings::{self, AdjustableSettings, Invocation, Run, Settings};
+use crate::settings::{self, AdjustableSettings, Invocation, RunSettings, Settings};
 use crate::upstream::UpstreamClient;
 use crate::{
     callers, configuration, control, gateway, interfaces, links, operators, peers, reload, stop,
@@ -99,7 +99,7 @@
     }
 }
 
-fn run_to_exit_code(order: Run) -> ExitCode {
+fn run_to_exit_code(order: RunSettings) -> ExitCode {
     let _written_before_exit = telemetry::start_logs(order.loaded.settings.log_format);
     match run_on_runtime(order) {
         Ok(()) => ExitCode::SUCCESS,
@@ -111,7 +111,7 @@
     }
 }
 
-fn run_on_runtime(order: Run) -> Result<()> {
+fn run_on_runtime(order: RunSettings) -> Result<()> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()?;
@@ -124,8 +124,8 @@
 }
 
 /// Runs one node until `stop_signal` ends; then drains and stops it.
-pub(crate) async fn run(order: Run, stop_signal: impl Future<Output = ()>) -> Result<()> {
-    let Run { loaded, sources } = order;
+pub(crate) async fn run(order: RunSettings, stop_signal: impl Future<Output = ()>) -> Result<()> {
+    let RunSettings { loaded, sources } = order;
     let node = new_node(loaded.settings.clone(), loaded.adjustable.clone())?;
     let interface = node.interface;
     let node = Arc::new(node);
@@ -162,7 +162,7 @@
     tokio::pin!(stop_signal);
     let failed = tokio::select! {
         () = &mut stop_signal => None,
-        () = node.stop_ordered() => None,
+        () = node.stop_requested() => None,
         ended = &mut callers => Some(ended),
         ended = &mut control => Some(ended),
     };
--- a/crates/hemlocktack-node/src/settings/for_tests.rs
+++ b/crates/hemlocktack-node/src/settings/for_tests.rs
@@ -1,12 +1,12 @@
 //! Settings of nodes that tests make without a run.
 
-use super::{Invocation, Loaded, read};
+use super::{Invocation, LoadedSettings, read};
 
 /// Nothing listens there.
 const UNUSED_ADDRESS: &str = "127.0.0.1:9";
 
 /// All that every node needs, and these flags.
-pub(crate) fn with_flags(flags: &[(&str, &str)]) -> Loaded {
+pub(crate) fn with_flags(flags: &[(&str, &str)]) -> LoadedSettings {
     let needed = [
         ("--node", "howrah-1"),
         ("--service", "listings"),
--- a/crates/hemlocktack-node/src/settings/mod.rs
+++ b/crates/hemlocktack-node/src/settings/mod.rs
@@ -8,8 +8,8 @@
 mod sources;
 
 pub(crate) use flags::usage;
-pub(crate) use read::Loaded;
-pub(crate) use sources::{FileContents, Invocation, Run, Sources, read};
+pub(crate) use read::LoadedSettings;
+pub(crate) use sources::{FileContents, Invocation, RunSettings, Sources, read};
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/hemlocktack-node/src/settings/read.rs
+++ b/crates/hemlocktack-node/src/settings/read.rs
@@ -67,7 +67,7 @@
 }
 
 /// Everything that was read, and the texts that it was read from.
-pub(crate) struct Loaded {
+pub(crate) struct LoadedSettings {
     pub(crate) settings: Settings,
     pub(crate) adjustable: AdjustableSettings,
     /// In the order of the flags.
@@ -82,9 +82,9 @@
     pub(crate) deferred: Vec<&'static str>,
 }
 
-impl Loaded {
+impl LoadedSettings {
     /// Values are left out: some are secrets, and names end up in logs.
-    pub(crate) fn changes_since(&self, before: &Loaded) -> Changes {
+    pub(crate) fn changes_since(&self, before: &LoadedSettings) -> Changes {
         let pairs = self.texts.iter().zip(&before.texts);
         let changed = FLAGS
             .iter()
@@ -106,7 +106,7 @@
 pub(super) fn read_texts(
     value: impl Fn(&str) -> Option<String>,
     findings: Vec<String>,
-) -> Result<Loaded> {
+) -> Result<LoadedSettings> {
     let default = |flag: &Flag| flag.default.map(str::to_owned);
     let text = |flag: &Flag| value(flag.name).filter(|text| !text.is_empty());
     let texts = FLAGS
@@ -122,7 +122,7 @@
     if !reader.findings.is_empty() {
         return Err(Error::new(reader.findings));
     }
-    Ok(Loaded {
+    Ok(LoadedSettings {
         settings,
         adjustable,
         texts: reader.texts,
--- a/crates/hemlocktack-node/src/settings/sources.rs
+++ b/crates/hemlocktack-node/src/settings/sources.rs
@@ -6,19 +6,19 @@
 
 use super::file::{self, Values};
 use super::flags::{self, environment_name};
-use super::read::{self, Error, Loaded, Result};
+use super::read::{self, Error, LoadedSettings, Result};
 
 /// What the command line asks for.
 pub(crate) enum Invocation {
     Help,
     Version,
     Check,
-    Run(Box<Run>),
+    Run(Box<RunSettings>),
 }
 
 /// A node to be run.
-pub(crate) struct Run {
-    pub(crate) loaded: Loaded,
+pub(crate) struct RunSettings {
+    pub(crate) loaded: LoadedSettings,
     pub(crate) sources: Sources,
 }
 
@@ -54,7 +54,7 @@
     if is_check {
         return Ok(Invocation::Check);
     }
-    Ok(Invocation::Run(Box::new(Run { loaded, sources })))
+    Ok(Invocation::Run(Box::new(RunSettings { loaded, sources })))
 }
 
 impl Sources {
@@ -69,7 +69,7 @@
     }
 
     /// Reads all of them, the file as it was when it held this.
-    pub(crate) fn read(&self, contents: FileContents) -> Result<Loaded> {
+    pub(crate) fn read(&self, contents: FileContents) -> Result<LoadedSettings> {
         let mut findings = Vec::new();
         for argument in &self.matches.free {
             findings.push(format!("{argument}: not an option; see --help"));
--- a/crates/hemlocktack-node/src/sockets.rs
+++ b/crates/hemlocktack-node/src/sockets.rs
@@ -21,7 +21,7 @@
 /// swallows all packets without a word. Symptom: every call on it waits for its
 /// whole patience, one after the other, while a new connection would work. The
 /// system closes it after some probes, and calls are resolved over the next one.
-pub(crate) fn prepare(stream: &TcpStream) -> Result<()> {
+pub(crate) fn configure(stream: &TcpStream) -> Result<()> {
     stream.set_nodelay(true)?;
     let keepalive = TcpKeepalive::new()
         .with_time(PROBED_AFTER)
@@ -33,7 +33,7 @@
 /// The same for the end that sends calls, also while they lie unacknowledged,
 /// when no probes are sent. Not for the end that answers: a peer that reads a
 /// large answer slowly would lose it.
-pub(crate) fn prepare_to_ask(stream: &TcpStream) -> Result<()> {
-    prepare(stream)?;
+pub(crate) fn configure_sender(stream: &TcpStream) -> Result<()> {
+    configure(stream)?;
     SockRef::from(stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_FOR))
 }
--- a/crates/hemlocktack-node/src/stop.rs
+++ b/crates/hemlocktack-node/src/stop.rs
@@ -44,7 +44,7 @@
     node.home.table().stop_accepting();
     loop {
         let in_flight = usize::try_from(node.counters.in_flight()).unwrap_or(usize::MAX);
-        for action in node.live(|life, now| life.check_stop(now, in_flight)) {
+        for action in node.update_lifecycle(|life, now| life.check_stop(now, in_flight)) {
             match action {
                 LifeAction::ReportOverrun { in_flight } => {
                     log_event!(Event::DrainLimitReached, in_flight);
@@ -61,7 +61,7 @@
     // With an interface of its own, callers hold no tickets.
     if node.interface.is_some() {
         log_event!(Event::DrainFinished);
-        node.live(|life, _| life.handed_over());
+        node.update_lifecycle(|life, _| life.handed_over());
         return;
     }
     match handover::give(node).await {
@@ -69,5 +69,5 @@
         None => log_event!(Event::HandoverFailed),
     }
     log_event!(Event::DrainFinished);
-    node.live(|life, _| life.handed_over());
+    node.update_lifecycle(|life, _| life.handed_over());
 }
--- a/crates/hemlocktack-node/src/telemetry/entry_counts.rs
+++ b/crates/hemlocktack-node/src/telemetry/entry_counts.rs
@@ -64,7 +64,7 @@
     }
 
     /// Counts one end.
-    pub(crate) fn ended(&self, service: &str, outcome: Outcome, reason: Reason) {
+    pub(crate) fn record(&self, service: &str, outcome: Outcome, reason: Reason) {
         let services = self.services.load();
         let ends = services.get(service).map_or(&self.undeclared, Arc::as_ref);
         if let Some(count) = ends.count_of(outcome, reason) {
--- a/crates/hemlocktack-node/src/telemetry/line_budget.rs
+++ b/crates/hemlocktack-node/src/telemetry/log_rate_limiter.rs
@@ -11,7 +11,7 @@
 
 /// Lines that may still be written in the current second.
 #[derive(Debug)]
-pub(crate) struct LineBudget {
+pub(crate) struct LogRateLimiter {
     state: Mutex<State>,
 }
 
@@ -22,7 +22,7 @@
     left_out: u64,
 }
 
-impl Default for LineBudget {
+impl Default for LogRateLimiter {
     fn default() -> Self {
         let state = State {
             second_began: Instant::now(),
@@ -35,9 +35,9 @@
     }
 }
 
-impl LineBudget {
+impl LogRateLimiter {
     /// If a line may be written, how many were left out before it.
-    pub(crate) fn take(&self) -> Option<u64> {
+    pub(crate) fn try_acquire(&self) -> Option<u64> {
         let now = Instant::now();
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         if now.saturating_duration_since(state.second_began) >= SECOND {
--- a/crates/hemlocktack-node/src/telemetry/log_limit.rs
+++ b/crates/hemlocktack-node/src/telemetry/log_throttle.rs
@@ -8,7 +8,7 @@
 
 /// Counts occurrences and says when a line is due.
 #[derive(Debug, Default)]
-pub(crate) struct LogLimit {
+pub(crate) struct LogThrottle {
     state: Mutex<State>,
 }
 
@@ -19,9 +19,9 @@
     total: u64,
 }
 
-impl LogLimit {
+impl LogThrottle {
     /// Counts one; if a line is due, how many it stands for.
-    pub(crate) fn count(&self) -> Option<u64> {
+    pub(crate) fn record(&self) -> Option<u64> {
         let now = Instant::now();
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.total += 1;
--- a/crates/hemlocktack-node/src/telemetry/status.rs
+++ b/crates/hemlocktack-node/src/telemetry/status.rs
@@ -22,9 +22,9 @@
         state: node.state().into(),
         upstream: node.upstream_state().into(),
         generation_in_force: node
-            .configuration_in_force()
+            .active_configuration()
             .map_or(0, |in_force| in_force.generation),
-        demand_count: node.counters.demanded_count(),
+        demand_count: node.counters.demand_count(),
         admitted_count: node.counters.admitted_count(),
         retried_count: node.counters.retried_count(),
         refusals: node.counters.refusals(),
--- a/crates/hemlocktack-node/src/telemetry/traces.rs
+++ b/crates/hemlocktack-node/src/telemetry/traces.rs
@@ -34,20 +34,20 @@
 }
 
 /// A span of one call on this node.
-pub(crate) struct ObservedSpan {
+pub(crate) struct CallSpan {
     span: ActiveSpan,
 }
 
-impl ObservedSpan {
+impl CallSpan {
     /// Begins a span and lets what the call does next belong to it.
     pub(crate) fn begin(node: &Node, name: SpanName, call: &mut Call) -> Self {
-        let observed = Self::begin_wait(node, name, call);
+        let observed = Self::begin_leaf(node, name, call);
         call.traceparent = observed.span.context().header();
         observed
     }
 
     /// Begins a span in which nothing else happens.
-    pub(crate) fn begin_wait(node: &Node, name: SpanName, call: &Call) -> Self {
+    pub(crate) fn begin_leaf(node: &Node, name: SpanName, call: &Call) -> Self {
         let context = node.tracer.context_of(Some(&call.traceparent));
         let span = node.tracer.start(context, name);
         Self { span }
@@ -66,7 +66,7 @@
     }
 
     /// Ends a wait, with the reason if it ended in a refusal.
-    pub(crate) fn end_wait(self, node: &Node, refused: Option<Reason>) {
+    pub(crate) fn end_leaf(self, node: &Node, refused: Option<Reason>) {
         let end = refused.map_or(SpanEnd::DONE, |reason| SpanEnd {
             outcome: Outcome::NotRun,
             reason,
--- a/crates/hemlocktack-node/src/upstream/announce.rs
+++ b/crates/hemlocktack-node/src/upstream/announce.rs
@@ -33,14 +33,14 @@
     if load_path.is_some_and(|path| !path.starts_with('/')) {
         return refuse("load_path begins with /");
     }
-    node.upstream_announced(announcement);
+    node.apply_announcement(announcement);
     let reply = serde_json::json!({ "renew_every_ms": RENEW_EVERY.as_millis() as u64 });
     (Status::Ok, (ContentType::JSON, reply.to_string()))
 }
 
 #[post("/upstream/drain")]
 fn drain(node: &State<Arc<Node>>) -> Status {
-    node.upstream_drains();
+    node.mark_upstream_draining();
     Status::Ok
 }
 
--- a/crates/hemlocktack-node/src/upstream/connections.rs
+++ b/crates/hemlocktack-node/src/upstream/connections.rs
@@ -69,7 +69,7 @@
     pub(super) async fn dial(&self, address: SocketAddr) -> Option<Leased> {
         let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let stream = stream.ok()?.ok()?;
-        sockets::prepare(&stream).ok()?;
+        sockets::configure(&stream).ok()?;
         let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
         // Ends with an error if the upstream sends what nobody asked for; the
         // connection is closed then, and its sender knows.
--- a/crates/hemlocktack-node/src/upstream/interface_client.rs
+++ b/crates/hemlocktack-node/src/upstream/interface_client.rs
@@ -13,7 +13,7 @@
 
 use super::connections::{Connections, Leased};
 use super::{UpstreamEnd, UpstreamSend};
-use crate::gateway::passed_on;
+use crate::gateway::forwarded_headers;
 
 /// Idle connections that may turn out closed before a new one is opened.
 const STALE_MAX: usize = 3;
@@ -74,7 +74,7 @@
         self.connections.give_back(leased, &head.headers);
         end.unwrap_or_else(|| UpstreamEnd::Answered {
             status: head.status.as_u16(),
-            headers: passed_on(&head.headers, &[]),
+            headers: forwarded_headers(&head.headers, &[]),
             body,
         })
     }
--- a/crates/hemlocktack-node/tests/decoders/settings_texts.rs
+++ b/crates/hemlocktack-node/tests/decoders/settings_texts.rs
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 use proptest::sample::{Index, select};
 
-use crate::settings::{Invocation, Loaded, Run, read};
+use crate::settings::{Invocation, LoadedSettings, RunSettings, read};
 
 const FLEET_KEY: &str = "a fleet key for tests, long enough";
 const SOUND: [(&str, &str); 17] = [
@@ -91,7 +91,7 @@
 }
 
 /// A node that was started with a sound file.
-fn started(file: &Path) -> Run {
+fn started(file: &Path) -> RunSettings {
     let flag = format!("--settings-file={}", file.display());
     let Ok(Invocation::Run(run)) = read(&[flag], |_| None) else {
         panic!("the sound settings are refused");
@@ -108,7 +108,7 @@
 }
 
 /// What is in force is of use; what is refused is told in single lines.
-fn check(outcome: std::result::Result<&Loaded, &[String]>) -> Result<(), TestCaseError> {
+fn check(outcome: std::result::Result<&LoadedSettings, &[String]>) -> Result<(), TestCaseError> {
     let loaded = match outcome {
         Ok(loaded) => loaded,
         Err(findings) => return check_findings(findings),
@@ -170,7 +170,7 @@
     #[test]
     fn files_of_settings_are_taken_or_refused(files in vec(contents(), 1..4)) {
         let file = sound_file();
-        let Run { mut loaded, sources } = started(file.path());
+        let RunSettings { mut loaded, sources } = started(file.path());
         for contents in files {
             match sources.read(Some(Ok(contents))) {
                 Ok(read) => {
