--- a/crates/hemlocktack-decide/benches/decisions.rs
+++ b/crates/hemlocktack-decide/benches/decisions.rs
@@ -5,9 +5,9 @@
 
 use divan::{Bencher, black_box};
 use hemlocktack_decide::{
-    Admission, AdmissionPolicy, Allowance, Decision, EdgeBudget, Ended, EntryShedPolicy,
-    EntryShedder, Offer, PeerLoad, PlacementPolicy, RetryBudget, RetryPolicy, RetryStanding,
-    ShedLevel, place, retry_verdict,
+    Admission, AdmissionPolicy, EdgeRetryBudget, EntryShedPolicy, EntryShedder, OfferedCall,
+    PeerLoad, PlacementPolicy, QueueDecision, RetryAllowance, RetryBudget, RetryPolicy,
+    RetryPriority, RunResult, ShedLevel, decide_retry, place,
 };
 use hemlocktack_protocol::{LoadHint, Reason, Unfinished, UpstreamState};
 use rand::SeedableRng;
@@ -20,8 +20,8 @@
 const SLOTS: u32 = 140;
 const WORK: Duration = Duration::from_millis(50);
 
-fn offer(call_id: u64, now: Instant) -> Offer {
-    Offer {
+fn offer(call_id: u64, now: Instant) -> OfferedCall {
+    OfferedCall {
         call_id,
         class_rank: (call_id % 3) as u8,
         deadline: now + Duration::from_secs(3600),
@@ -62,11 +62,11 @@
         let verdict = admission.offer(black_box(&offer(call_id, now)), now);
         black_box(verdict);
         if let Some(done) = running.pop_front() {
-            admission.finish(done, Ended::Answered, Duration::ZERO, now);
+            admission.finish(done, RunResult::Answered, Duration::ZERO, now);
         }
-        admission.take_ready(now, &mut decisions);
+        admission.take_decisions(now, &mut decisions);
         for decision in decisions.drain(..) {
-            if let Decision::Run(call_id) = decision {
+            if let QueueDecision::Run(call_id) = decision {
                 running.push_back(call_id);
             }
         }
@@ -122,12 +122,12 @@
 
 #[divan::bench]
 fn retry(bencher: Bencher<'_, '_>) {
-    let allowance = Allowance::new(u32::MAX);
-    let edge = EdgeBudget::new(RetryPolicy::default(), Instant::now());
+    let allowance = RetryAllowance::new(u32::MAX);
+    let edge = EdgeRetryBudget::new(RetryPolicy::default(), Instant::now());
     let unfinished = Unfinished::Unknown(Reason::UpstreamFailed);
     bencher.bench_local(|| {
-        edge.first_try(Instant::now());
-        retry_verdict(
+        edge.record_first_attempt(Instant::now());
+        decide_retry(
             black_box(&unfinished),
             true,
             Duration::from_secs(1),
@@ -135,7 +135,7 @@
             &RetryBudget {
                 allowance: &allowance,
                 edge: &edge,
-                standing: RetryStanding::FIRST,
+                priority: RetryPriority::HIGHEST,
             },
             Instant::now(),
         )
--- a/crates/hemlocktack-decide/examples/scenarios/driver/arena.rs
+++ b/crates/hemlocktack-decide/examples/scenarios/driver/arena.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hemlocktack_decide::Allowance;
+use hemlocktack_decide::RetryAllowance;
 use hemlocktack_protocol::Refusal;
 
 pub(crate) type CallKey = u64;
@@ -66,11 +66,11 @@
     pub(crate) phase_since: Duration,
     /// Allowance that this call and its siblings draw from, on the node that
     /// makes them.
-    pub(crate) allowance: Arc<Allowance>,
+    pub(crate) allowance: Arc<RetryAllowance>,
     /// What went away with this call.
     pub(crate) given: u32,
     /// The same on the upstream's node, for deeper calls.
-    pub(crate) inner: Arc<Allowance>,
+    pub(crate) inner: Arc<RetryAllowance>,
     /// Work of the whole attempt; kept in its root call.
     pub(crate) attempt_work: Duration,
     pub(crate) is_long: bool,
--- a/crates/hemlocktack-decide/examples/scenarios/driver/callers.rs
+++ b/crates/hemlocktack-decide/examples/scenarios/driver/callers.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hemlocktack_decide::Allowance;
+use hemlocktack_decide::RetryAllowance;
 use rand::RngExt;
 
 use super::arena::{Call, CallEnd, CallKey, Place, Request, RequestKey};
@@ -75,8 +75,8 @@
             phase: 0,
             phase_work: Duration::ZERO,
             phase_since: Duration::ZERO,
-            allowance: Arc::new(Allowance::new(ALLOWANCE)),
-            inner: Arc::new(Allowance::new(0)),
+            allowance: Arc::new(RetryAllowance::new(ALLOWANCE)),
+            inner: Arc::new(RetryAllowance::new(0)),
             given: 0,
             attempt_work: Duration::ZERO,
             is_long: is_long && request.kind + 1 == self.deployment.kinds.len(),
--- a/crates/hemlocktack-decide/examples/scenarios/driver/entry_side.rs
+++ b/crates/hemlocktack-decide/examples/scenarios/driver/entry_side.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use hemlocktack_decide::{
-    RetryBudget, RetryStanding, RetryVerdict, end_of_tries, may_move, place, retry_verdict,
+    RetryBudget, RetryDecision, RetryPriority, combined_outcome, decide_retry, may_move, place,
 };
 use hemlocktack_protocol::{LoadHint, Reason, Refusal, Unfinished};
 use rand::RngExt;
@@ -37,7 +37,7 @@
                 self.end_call(key, CallEnd::Refused(refusal(Reason::Shed)));
                 return;
             }
-            node.budgets[service].first_try(now);
+            node.budgets[service].record_first_attempt(now);
         }
         self.put(key, None);
     }
@@ -68,21 +68,21 @@
             return;
         };
         self.nodes[from].peers[service][index].sent(now);
-        let patience = self.nodes[from].peers[service][index].patience();
+        let silence_timeout = self.nodes[from].peers[service][index].silence_timeout();
         let upstream = self.services[service][index];
         let Some(call) = self.arena.calls.get_mut(&key) else {
             return;
         };
         call.upstream = upstream;
         call.place = Place::Travelling;
-        call.given = call.allowance.give_to_child();
+        call.given = call.allowance.grant_to_child();
         call.send += 1;
         let send = call.send;
         self.outcomes.calls += 1;
         let delay = self.delay(from, upstream);
         self.schedule(delay, Event::AtUpstream(key, send));
         if self.policy == Policy::Hemlocktack {
-            self.schedule(patience, Event::LookForSilence(key, send));
+            self.schedule(silence_timeout, Event::LookForSilence(key, send));
         }
     }
 
@@ -102,7 +102,7 @@
         let index = index_in(&self.services[service], call.upstream);
         let peer = Arc::clone(&self.nodes[call.from].peers[service][index]);
         if !peer.is_lost(now) {
-            self.schedule(peer.patience(), Event::LookForSilence(key, send));
+            self.schedule(peer.silence_timeout(), Event::LookForSilence(key, send));
             return;
         }
         peer.failed(now);
@@ -160,7 +160,7 @@
         let Some(call) = self.arena.calls.get_mut(&key) else {
             return;
         };
-        call.allowance.give_back(reply.unspent, call.given);
+        call.allowance.return_unspent(reply.unspent, call.given);
         call.given = 0;
         let service = self.deployment.steps[call.step].service;
         let node = &mut self.nodes[call.from];
@@ -206,13 +206,13 @@
         let unknown = Unfinished::Unknown(Reason::UpstreamFailed);
         let earlier = call.may_have_run.then_some(unknown);
         call.may_have_run |= last == unknown;
-        let end = match end_of_tries(earlier, last) {
+        let end = match combined_outcome(earlier, last) {
             Unfinished::Unknown(_) => CallEnd::Crashed,
             Unfinished::NotRun(refusal) => CallEnd::Refused(refusal),
         };
         let service = self.deployment.steps[call.step].service;
         let request = &self.arena.requests[&call.request];
-        let verdict = retry_verdict(
+        let verdict = decide_retry(
             &last,
             self.deployment.kinds[request.kind].idempotent,
             call.deadline.saturating_sub(self.at),
@@ -220,11 +220,11 @@
             &RetryBudget {
                 allowance: &call.allowance,
                 edge: &self.nodes[call.from].budgets[service],
-                standing: RetryStanding::FIRST,
+                priority: RetryPriority::HIGHEST,
             },
             now,
         );
-        if verdict != RetryVerdict::Retry {
+        if verdict != RetryDecision::Retry {
             self.end_call(key, end);
             return;
         }
--- a/crates/hemlocktack-decide/examples/scenarios/driver/upstream_crash.rs
+++ b/crates/hemlocktack-decide/examples/scenarios/driver/upstream_crash.rs
@@ -30,7 +30,7 @@
         for key in calls {
             self.end_crashed(key);
         }
-        self.take_ready(node);
+        self.take_decisions(node);
         self.schedule(down_for, Event::Back(node));
     }
 
@@ -49,7 +49,7 @@
     /// the node.
     fn spread_suspects(&mut self, from: usize) {
         let now = self.now();
-        let news = self.nodes[from].admission.quarantine().take_news();
+        let news = self.nodes[from].admission.quarantine().take_updates();
         for (index, node) in self.nodes.iter_mut().enumerate() {
             if index != from {
                 for suspect in &news {
--- a/crates/hemlocktack-decide/examples/scenarios/driver/upstream_side.rs
+++ b/crates/hemlocktack-decide/examples/scenarios/driver/upstream_side.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hemlocktack_decide::{Decision, Offer, Verdict};
+use hemlocktack_decide::{AdmissionDecision, OfferedCall, QueueDecision};
 use hemlocktack_protocol::{LoadHint, Reason};
 
 use super::arena::{Call, CallEnd, CallKey, Place};
@@ -46,7 +46,7 @@
             self.hand_over(key);
         } else if target.fifo.len() < slots * STATIC_QUEUE_PER_SLOT {
             target.fifo.push_back(key);
-            self.set_place(key, Place::Queued);
+            self.set_position(key, Place::Queued);
         } else {
             self.send_reply(
                 key,
@@ -60,7 +60,7 @@
     fn offer(&mut self, key: CallKey, node: usize) {
         let call = &self.arena.calls[&key];
         let request = &self.arena.requests[&call.request];
-        let offer = Offer {
+        let offer = OfferedCall {
             call_id: key,
             class_rank: self.deployment.kinds[request.kind].class_rank,
             deadline: self.instant(call.deadline),
@@ -73,9 +73,9 @@
         };
         let now = self.now();
         match self.nodes[node].admission.offer(&offer, now) {
-            Verdict::Run => self.hand_over(key),
-            Verdict::Queued => self.set_place(key, Place::Queued),
-            Verdict::Refused(refusal) => self.refuse(key, refusal),
+            AdmissionDecision::Run => self.hand_over(key),
+            AdmissionDecision::Queued => self.set_position(key, Place::Queued),
+            AdmissionDecision::Refused(refusal) => self.refuse(key, refusal),
         }
         self.schedule_wake(node);
     }
@@ -113,7 +113,7 @@
     pub(crate) fn wake(&mut self, node: usize) {
         if self.nodes[node].wake_at == Some(self.at) {
             self.nodes[node].wake_at = None;
-            self.take_ready(node);
+            self.take_decisions(node);
         }
     }
 
@@ -132,7 +132,7 @@
     }
 
     /// Starts or refuses waiting calls.
-    pub(crate) fn take_ready(&mut self, node: usize) {
+    pub(crate) fn take_decisions(&mut self, node: usize) {
         match self.policy {
             Policy::None => {}
             Policy::Static => {
@@ -150,11 +150,13 @@
             Policy::Hemlocktack => {
                 let now = self.now();
                 let mut decisions = Vec::new();
-                self.nodes[node].admission.take_ready(now, &mut decisions);
+                self.nodes[node]
+                    .admission
+                    .take_decisions(now, &mut decisions);
                 for decision in decisions {
                     match decision {
-                        Decision::Run(key) => self.hand_over(key),
-                        Decision::Refuse(key, refusal) => self.refuse(key, refusal),
+                        QueueDecision::Run(key) => self.hand_over(key),
+                        QueueDecision::Refuse(key, refusal) => self.refuse(key, refusal),
                     }
                 }
                 self.schedule_wake(node);
@@ -162,7 +164,7 @@
         }
     }
 
-    fn set_place(&mut self, key: CallKey, place: Place) {
+    fn set_position(&mut self, key: CallKey, place: Place) {
         if let Some(call) = self.arena.calls.get_mut(&key) {
             call.place = place;
         }
--- a/crates/hemlocktack-decide/examples/scenarios/driver/upstream_work.rs
+++ b/crates/hemlocktack-decide/examples/scenarios/driver/upstream_work.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hemlocktack_decide::{Allowance, Ended};
+use hemlocktack_decide::{RetryAllowance, RunResult};
 
 use super::arena::{Call, CallEnd, CallKey, Place};
 use super::scenario::{LONG_FACTOR, Policy};
@@ -20,7 +20,7 @@
         };
         call.place = Place::Inside;
         // The allowance that came with the call is what its children share.
-        call.inner = Arc::new(Allowance::new(call.given));
+        call.inner = Arc::new(RetryAllowance::new(call.given));
         let node = call.upstream;
         if call.parent.is_none()
             && let Some(request) = self.arena.requests.get_mut(&call.request)
@@ -127,7 +127,7 @@
             phase_work: Duration::ZERO,
             phase_since: Duration::ZERO,
             allowance: Arc::clone(&parent.inner),
-            inner: Arc::new(Allowance::new(0)),
+            inner: Arc::new(RetryAllowance::new(0)),
             given: 0,
             attempt_work: Duration::ZERO,
             is_long: false,
@@ -164,11 +164,11 @@
                 .iter()
                 .map(|step| *step as u64)
                 .collect();
-            self.nodes[node].edges.answered(step as u64, &deeper);
+            self.nodes[node].edges.record_answer(step as u64, &deeper);
         }
         let hint = self.hint(node, step);
         self.send_reply(key, end, hint, unspent);
-        self.take_ready(node);
+        self.take_decisions(node);
     }
 
     fn free_slot(&mut self, key: CallKey, node: usize, below: Duration, answered: bool) {
@@ -178,9 +178,9 @@
         }
         if self.policy == Policy::Hemlocktack {
             let ended = if answered {
-                Ended::Answered
+                RunResult::Answered
             } else {
-                Ended::Failed
+                RunResult::Failed
             };
             self.nodes[node].admission.finish(key, ended, below, now);
         }
@@ -204,9 +204,9 @@
                     self.start_phase(next);
                 }
                 let admission = &mut self.nodes[node].admission;
-                admission.finish(key, Ended::Cancelled, call.time_below, now);
+                admission.finish(key, RunResult::Cancelled, call.time_below, now);
                 if !self.frozen.contains(&node) {
-                    self.take_ready(node);
+                    self.take_decisions(node);
                 }
             }
         }
--- a/crates/hemlocktack-decide/examples/scenarios/driver/world.rs
+++ b/crates/hemlocktack-decide/examples/scenarios/driver/world.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use hemlocktack_decide::{
-    Admission, AdmissionPolicy, ChainEdges, EdgeBudget, EntryShedPolicy, EntryShedder, PeerLoad,
-    PlacementPolicy, RetryPolicy,
+    Admission, AdmissionPolicy, ChainEdges, EdgeRetryBudget, EntryShedPolicy, EntryShedder,
+    PeerLoad, PlacementPolicy, RetryPolicy,
 };
 use hemlocktack_protocol::{LoadHint, UpstreamState};
 use rand::rngs::SmallRng;
@@ -43,7 +43,7 @@
     GivesUp(RequestKey, u32),
     /// An answer, good or not, reaches the caller.
     AtCaller(RequestKey, u32, bool, bool),
-    /// `take_ready` is due at a node.
+    /// `take_decisions` is due at a node.
     Wake(usize),
     /// Begin and end of the fault.
     FaultBegins,
@@ -70,7 +70,7 @@
     /// Peers of each service, seen from here.
     pub(crate) peers: Vec<Vec<Arc<PeerLoad>>>,
     pub(crate) edges: ChainEdges,
-    pub(crate) budgets: Vec<EdgeBudget>,
+    pub(crate) budgets: Vec<EdgeRetryBudget>,
     pub(crate) wake_at: Option<Duration>,
 }
 
@@ -304,7 +304,7 @@
         let is_near = places[*node].1 == data_centre;
         Arc::new(PeerLoad::new(is_near, UpstreamState::Ready, epoch))
     };
-    let budget = |_| EdgeBudget::new(RetryPolicy::default(), epoch);
+    let budget = |_| EdgeRetryBudget::new(RetryPolicy::default(), epoch);
     Node {
         upstream: Upstream::new(data_centre, spec.slots, spec.connections),
         admission,
--- a/crates/hemlocktack-decide/src/admission.rs
+++ b/crates/hemlocktack-decide/src/admission.rs
@@ -12,9 +12,11 @@
 
 use crate::limit::ConcurrencyLimit;
 use crate::objective_limit::ObjectiveLimit;
-use crate::offer::{CancelResult, Decision, Ended, Offer, Verdict, WorkKind};
+use crate::offer::{
+    AdmissionDecision, CancelResult, OfferedCall, QueueDecision, RunResult, WorkKind,
+};
 use crate::policy::AdmissionPolicy;
-use crate::quarantine::{Quarantine, Standing};
+use crate::quarantine::{Quarantine, QuarantineStatus};
 use crate::queue::{ClassQueue, Waiting};
 use crate::shed::{Pressure, ShedController, ShedLevel};
 use crate::suspects::SuspectQueue;
@@ -51,7 +53,7 @@
     running: HashMap<CallId, Running>,
     shed: ShedController,
     quarantine: Quarantine,
-    refusals: Vec<Decision>,
+    refusals: Vec<QueueDecision>,
     swept_at: Instant,
     probed_at: Option<Instant>,
     strict: Option<Strict>,
@@ -147,59 +149,65 @@
     }
 
     /// A call asks for a slot.
-    pub fn offer(&mut self, offer: &Offer, now: Instant) -> Verdict {
+    pub fn offer(&mut self, offer: &OfferedCall, now: Instant) -> AdmissionDecision {
         self.end_interval_if_due(now);
         if !matches!(self.state, UpstreamState::Ready | UpstreamState::Cold) {
-            return Verdict::Refused(self.refusal(self.refuse_with, offer.call_id));
+            return AdmissionDecision::Refused(self.refusal(self.refuse_with, offer.call_id));
         }
         self.shed.arrived(offer.class_rank, offer.root_request_id);
-        match self.quarantine.standing(offer.fingerprint, now) {
-            Standing::Free => self.offer_free(offer, now),
-            Standing::Refused => Verdict::Refused(QUARANTINED),
-            Standing::Suspected => self.offer_suspect(offer, now),
+        match self.quarantine.status(offer.fingerprint, now) {
+            QuarantineStatus::Clear => self.offer_free(offer, now),
+            QuarantineStatus::Quarantined => AdmissionDecision::Refused(QUARANTINED),
+            QuarantineStatus::Suspected => self.offer_suspect(offer, now),
         }
     }
 
     /// A running call ended; `time_below` is the part of its time in which it
-    /// waited for deeper calls. Call [`Admission::take_ready`] next.
-    pub fn finish(&mut self, call_id: CallId, ended: Ended, time_below: Duration, now: Instant) {
+    /// waited for deeper calls. Call [`Admission::take_decisions`] next.
+    pub fn finish(
+        &mut self,
+        call_id: CallId,
+        ended: RunResult,
+        time_below: Duration,
+        now: Instant,
+    ) {
         let Some(call) = self.running.remove(&call_id) else {
             return;
         };
         self.suspects.ended(call_id);
         match ended {
-            Ended::Answered => {
+            RunResult::Answered => {
                 self.quarantine.finished(call.fingerprint);
                 self.learn_from(&call, time_below, now);
             }
-            Ended::ShedByUpstream => self.limit.upstream_shed(now),
-            Ended::AnsweredWithFailure => self.quarantine.finished(call.fingerprint),
-            Ended::LackedRoomBelow => {
+            RunResult::ShedByUpstream => self.limit.upstream_shed(now),
+            RunResult::AnsweredWithFailure => self.quarantine.finished(call.fingerprint),
+            RunResult::ChildLackedCapacity => {
                 self.quarantine.finished(call.fingerprint);
                 self.learn_lack_of_room(&call, time_below, now);
             }
             // A failed or cancelled call was cut short: its time says nothing.
-            Ended::Failed | Ended::Cancelled => {}
+            RunResult::Failed | RunResult::Cancelled => {}
         }
     }
 
     /// The caller has gone.
     pub fn cancel(&mut self, call_id: CallId) -> CancelResult {
         if self.queue.remove(call_id).is_some() {
-            return CancelResult::Unqueued;
+            return CancelResult::Dequeued;
         }
         if self.running.contains_key(&call_id) {
             return CancelResult::Running;
         }
         if !self.suspects.remove(call_id) {
-            return CancelResult::NotHere;
+            return CancelResult::UnknownCall;
         }
-        CancelResult::Unqueued
+        CancelResult::Dequeued
     }
 
     /// Appends what has become of queued calls. To be called after each finish
     /// and at [`Admission::next_wake`].
-    pub fn take_ready(&mut self, now: Instant, decisions: &mut Vec<Decision>) {
+    pub fn take_decisions(&mut self, now: Instant, decisions: &mut Vec<QueueDecision>) {
         self.end_interval_if_due(now);
         self.sweep_if_due(now);
         decisions.append(&mut self.refusals);
@@ -207,12 +215,12 @@
             return;
         }
         while let Some(call) = self.next_call(now) {
-            decisions.push(Decision::Run(call.call_id));
+            decisions.push(QueueDecision::Run(call.call_id));
         }
         decisions.append(&mut self.refusals);
     }
 
-    /// When [`Admission::take_ready`] is to be called next if no call ends
+    /// When [`Admission::take_decisions`] is to be called next if no call ends
     /// before; `None` while nothing waits.
     pub fn next_wake(&self) -> Option<Instant> {
         if !self.refusals.is_empty() {
--- a/crates/hemlocktack-decide/src/admission/offered.rs
+++ b/crates/hemlocktack-decide/src/admission/offered.rs
@@ -5,11 +5,11 @@
 use hemlocktack_protocol::Reason;
 
 use super::Admission;
-use crate::offer::{Decision, Offer, Verdict};
+use crate::offer::{AdmissionDecision, OfferedCall, QueueDecision};
 use crate::queue::{Waiting, class_of};
 
 impl Admission {
-    pub(super) fn offer_free(&mut self, offer: &Offer, now: Instant) -> Verdict {
+    pub(super) fn offer_free(&mut self, offer: &OfferedCall, now: Instant) -> AdmissionDecision {
         if self.has_free_slot() && self.queue.is_empty() {
             return self.offer_idle(offer, now);
         }
@@ -29,37 +29,43 @@
             || self.is_late_anyway(&waiting, now)
             || self.is_hopeless(offer.kind, waiting.deadline, wait, now)
         {
-            return Verdict::Refused(self.refusal_of(Reason::DeadlineTooShort, &waiting, now));
+            return AdmissionDecision::Refused(self.refusal_of(
+                Reason::DeadlineTooShort,
+                &waiting,
+                now,
+            ));
         }
         if self.is_shed(offer, class, invested, now) {
-            return Verdict::Refused(self.refusal_of(Reason::Shed, &waiting, now));
+            return AdmissionDecision::Refused(self.refusal_of(Reason::Shed, &waiting, now));
         }
         if !self.make_room(class, invested) {
             self.hold_back_below(class, now);
-            return Verdict::Refused(self.refusal_of(Reason::QueueFull, &waiting, now));
+            return AdmissionDecision::Refused(self.refusal_of(Reason::QueueFull, &waiting, now));
         }
         self.queue.push(waiting);
-        Verdict::Queued
+        AdmissionDecision::Queued
     }
 
     /// A slot is free and nobody waits. Load: none. Harm: refusing here would
     /// keep capacity back for nobody; so only a call that has no chance at all
     /// is refused, and one of those is run now and then to correct the estimate.
-    fn offer_idle(&mut self, offer: &Offer, now: Instant) -> Verdict {
+    fn offer_idle(&mut self, offer: &OfferedCall, now: Instant) -> AdmissionDecision {
         let expected = self.work.expected(offer.kind, now);
         let time_left = offer.deadline.saturating_duration_since(now);
         if time_left < expected / 2 && !self.probe(now) {
-            return Verdict::Refused(self.refusal(Reason::DeadlineTooShort, offer.call_id));
+            return AdmissionDecision::Refused(
+                self.refusal(Reason::DeadlineTooShort, offer.call_id),
+            );
         }
         self.start(&Waiting::from_offer(offer, now), now);
-        Verdict::Run
+        AdmissionDecision::Run
     }
 
-    pub(super) fn offer_suspect(&mut self, offer: &Offer, now: Instant) -> Verdict {
+    pub(super) fn offer_suspect(&mut self, offer: &OfferedCall, now: Instant) -> AdmissionDecision {
         if !self.suspects.push(Waiting::from_offer(offer, now)) {
-            return Verdict::Refused(self.refusal(Reason::Quarantined, offer.call_id));
+            return AdmissionDecision::Refused(self.refusal(Reason::Quarantined, offer.call_id));
         }
-        Verdict::Queued
+        AdmissionDecision::Queued
     }
 
     fn make_room(&mut self, class: usize, invested: bool) -> bool {
@@ -73,7 +79,7 @@
         };
         let refusal = self.refusal(Reason::QueueFull, evicted.call_id);
         self.refusals
-            .push(Decision::Refuse(evicted.call_id, refusal));
+            .push(QueueDecision::Refuse(evicted.call_id, refusal));
         true
     }
 
--- a/crates/hemlocktack-decide/src/admission/refuse.rs
+++ b/crates/hemlocktack-decide/src/admission/refuse.rs
@@ -6,9 +6,9 @@
 
 use super::{Admission, Strict};
 use crate::mix::mix;
-use crate::offer::{Offer, WorkKind};
+use crate::offer::{OfferedCall, WorkKind};
 use crate::queue::Waiting;
-use crate::retry_after::{retry_after, within_objective};
+use crate::retry_after::{cap_to_objective, retry_after};
 
 impl Admission {
     /// Whether a caller who came back cannot be answered in time any more.
@@ -53,7 +53,7 @@
         let refusal = self.refusal(reason, call.call_id);
         let expected = self.work.expected(call.kind, now);
         let cut = |wait| match call.objective {
-            Some(objective) => within_objective(wait, objective, expected),
+            Some(objective) => cap_to_objective(wait, objective, expected),
             None => wait,
         };
         Refusal {
@@ -80,7 +80,7 @@
     /// here is taken.
     pub(super) fn is_shed(
         &self,
-        offer: &Offer,
+        offer: &OfferedCall,
         class: usize,
         invested: bool,
         now: Instant,
--- a/crates/hemlocktack-decide/src/admission/waiting.rs
+++ b/crates/hemlocktack-decide/src/admission/waiting.rs
@@ -5,8 +5,8 @@
 use hemlocktack_protocol::Reason;
 
 use super::{Admission, QUARANTINED};
-use crate::offer::Decision;
-use crate::quarantine::Standing;
+use crate::offer::QueueDecision;
+use crate::quarantine::QuarantineStatus;
 use crate::queue::Waiting;
 
 /// A queue that has been above half its bound for this long will not be worked
@@ -23,7 +23,8 @@
             let call = self.queue.pop(self.is_standing(now))?;
             if self.is_hopeless(call.kind, call.deadline, Duration::ZERO, now) && !self.probe(now) {
                 let refusal = self.refusal(Reason::QueueTimeout, call.call_id);
-                self.refusals.push(Decision::Refuse(call.call_id, refusal));
+                self.refusals
+                    .push(QueueDecision::Refuse(call.call_id, refusal));
                 continue;
             }
             self.start(&call, now);
@@ -37,15 +38,15 @@
     fn next_suspect(&mut self, now: Instant) -> Option<Waiting> {
         while self.has_free_slot() {
             let call = self.suspects.next()?;
-            match self.quarantine.standing(call.fingerprint, now) {
-                Standing::Refused => self
+            match self.quarantine.status(call.fingerprint, now) {
+                QuarantineStatus::Quarantined => self
                     .refusals
-                    .push(Decision::Refuse(call.call_id, QUARANTINED)),
-                Standing::Suspected => {
+                    .push(QueueDecision::Refuse(call.call_id, QUARANTINED)),
+                QuarantineStatus::Suspected => {
                     self.suspects.started(call.call_id);
                     return Some(call);
                 }
-                Standing::Free => return Some(call),
+                QuarantineStatus::Clear => return Some(call),
             }
         }
         None
@@ -76,7 +77,8 @@
         self.swept_at = now;
         for call in gone {
             let refusal = self.refusal(reason, call.call_id);
-            self.refusals.push(Decision::Refuse(call.call_id, refusal));
+            self.refusals
+                .push(QueueDecision::Refuse(call.call_id, refusal));
         }
     }
 }
--- a/crates/hemlocktack-decide/src/edge_budget.rs
+++ b/crates/hemlocktack-decide/src/edge_budget.rs
@@ -48,11 +48,11 @@
 /// same verdict wherever it is made. A request that gets none ends at its first
 /// failure, before more is spent on it.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
-pub struct RetryStanding(f64);
+pub struct RetryPriority(f64);
 
-impl RetryStanding {
+impl RetryPriority {
     /// Before all others.
-    pub const FIRST: RetryStanding = RetryStanding(0.0);
+    pub const HIGHEST: RetryPriority = RetryPriority(0.0);
 
     /// Of a request of class `class_rank` among `class_count` classes; `is_last`
     /// if the call that failed is the request itself and not one made for it.
@@ -66,7 +66,7 @@
         let begin = f64::from(class_rank) * span;
         let place = (mix(root_request_id) >> 11) as f64 / (1_u64 << 53) as f64;
         let width = if is_last { span * LAST_CALL_SPAN } else { span };
-        RetryStanding((begin + place * width).min(1.0))
+        RetryPriority((begin + place * width).min(1.0))
     }
 }
 
@@ -80,7 +80,7 @@
 /// in the ten seconds after it was full, and a smaller one leaves most of the
 /// share unused in a fault of a few seconds.
 #[derive(Debug)]
-pub struct EdgeBudget {
+pub struct EdgeRetryBudget {
     began: Instant,
     share_per_mille: AtomicU32,
     least_retries: AtomicU32,
@@ -88,10 +88,10 @@
     retries: CountByTick,
 }
 
-impl EdgeBudget {
+impl EdgeRetryBudget {
     /// Nothing tried yet.
     pub fn new(policy: RetryPolicy, now: Instant) -> Self {
-        EdgeBudget {
+        EdgeRetryBudget {
             began: now,
             share_per_mille: AtomicU32::new(policy.share_per_mille),
             least_retries: AtomicU32::new(policy.least_retries),
@@ -112,19 +112,19 @@
     }
 
     /// Counts a first try.
-    pub fn first_try(&self, now: Instant) {
+    pub fn record_first_attempt(&self, now: Instant) {
         self.first_tries.add(self.tick(now));
     }
 
     /// Counts a call that a repeated run makes once more: nobody is asked, but
     /// it is no first try of its service either.
-    pub fn repeated_below(&self, now: Instant) {
+    pub fn record_repeated_call(&self, now: Instant) {
         self.retries.add(self.tick(now));
     }
 
     /// Takes one retry for a request of this standing; false when the edge has
     /// used its share up, or what is left is kept for requests before it.
-    pub fn take_one(&self, standing: RetryStanding, now: Instant) -> bool {
+    pub fn try_take(&self, standing: RetryPriority, now: Instant) -> bool {
         let tick = self.tick(now);
         let has_left = standing.0 < self.open_share(tick);
         if has_left {
--- a/crates/hemlocktack-decide/src/follow.rs
+++ b/crates/hemlocktack-decide/src/follow.rs
@@ -15,7 +15,13 @@
     /// a leaving upstream gets new work. The state is an argument here, to be
     /// read under the lock that orders those events and is held over this call,
     /// so the admission ends where the last of them left the state.
-    pub fn follow(&mut self, upstream: UpstreamState, slots: u32, connections: u32, now: Instant) {
+    pub fn sync_upstream_state(
+        &mut self,
+        upstream: UpstreamState,
+        slots: u32,
+        connections: u32,
+        now: Instant,
+    ) {
         match upstream {
             UpstreamState::Cold => self.announced(slots, connections, true, now),
             UpstreamState::Ready => self.announced(slots, connections, false, now),
--- a/crates/hemlocktack-decide/src/lib.rs
+++ b/crates/hemlocktack-decide/src/lib.rs
@@ -28,22 +28,23 @@
 mod work;
 
 pub use admission::Admission;
-pub use edge_budget::{EdgeBudget, RetryStanding};
-pub use edge_budgets::{EdgeBudgets, FleetRetries, NodePlace};
+pub use edge_budget::{EdgeRetryBudget, RetryPriority};
+pub use edge_budgets::{EdgeRetryBudgets, FleetRetryLimits, NodePosition};
 pub use limit::{ConcurrencyLimit, LimitPolicy};
-pub use link_watch::{LinkStep, LinkWatch, LinkWatchPolicy};
+pub use link_watch::{LinkAction, LinkMonitor, LinkMonitorPolicy};
 pub use moves::Moves;
-pub use objective_limit::ObjectivePolicy;
-pub use offer::{CancelResult, Decision, Ended, Offer, Verdict, WorkKind};
+pub use objective_limit::ObjectiveLimitPolicy;
+pub use offer::{AdmissionDecision, CancelResult, OfferedCall, QueueDecision, RunResult, WorkKind};
 pub use peer_load::PeerLoad;
 pub use placement::{PlacementPolicy, may_move, place};
 pub use policy::{AdmissionPolicy, QueuePolicy};
-pub use quarantine::{Quarantine, QuarantinePolicy, Standing, Suspect};
+pub use quarantine::{Quarantine, QuarantinePolicy, QuarantineStatus, Suspect};
 pub use queue::MAX_CLASSES;
 pub use retry::{
-    Allowance, RetryBudget, RetryPolicy, RetryVerdict, end_of_tries, retry_verdict, share_for_child,
+    RetryAllowance, RetryBudget, RetryDecision, RetryPolicy, combined_outcome, decide_retry,
+    share_for_child,
 };
-pub use retry_after::{RetryAfterPolicy, retry_after, within_objective};
+pub use retry_after::{RetryAfterPolicy, cap_to_objective, retry_after};
 pub use sends::{CallSends, NextStep};
 pub use shed::{ChainEdges, EntryShedPolicy, EntryShedder, ShedController, ShedLevel, ShedPolicy};
-pub use usual_patience::UsualPatience;
+pub use usual_patience::CallerTimeoutEstimator;
--- a/crates/hemlocktack-decide/src/link_watch.rs
+++ b/crates/hemlocktack-decide/src/link_watch.rs
@@ -2,9 +2,9 @@
 
 use std::time::{Duration, Instant};
 
-/// Numbers of [`LinkWatch`].
+/// Numbers of [`LinkMonitor`].
 #[derive(Clone, Copy, Debug)]
-pub struct LinkWatchPolicy {
+pub struct LinkMonitorPolicy {
     /// Silence on a link with calls that wait, after which the far end is asked
     /// for an echo. Most calls are answered sooner, and cost no echo.
     pub asked_after: Duration,
@@ -17,9 +17,9 @@
     pub looked_again_after: Duration,
 }
 
-impl Default for LinkWatchPolicy {
+impl Default for LinkMonitorPolicy {
     fn default() -> Self {
-        LinkWatchPolicy {
+        LinkMonitorPolicy {
             asked_after: Duration::from_millis(150),
             echo_within: Duration::from_millis(250),
             looked_again_after: Duration::from_millis(20),
@@ -29,11 +29,11 @@
 
 /// What to do about a link now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LinkStep {
+pub enum LinkAction {
     /// Nothing until then.
     Wait(Instant),
     /// Ask the far end for an echo, and look again then.
-    Ask(Instant),
+    RequestEcho(Instant),
     /// It is gone, or the way to it.
     Lost,
 }
@@ -49,16 +49,16 @@
 /// answers an echo whatever its upstream does, so silence after one is the
 /// node's or the way's own, and calls learn of it within 0.4 s.
 #[derive(Debug)]
-pub struct LinkWatch {
-    policy: LinkWatchPolicy,
+pub struct LinkMonitor {
+    policy: LinkMonitorPolicy,
     asked: Option<Instant>,
     seemed_lost: bool,
 }
 
-impl LinkWatch {
+impl LinkMonitor {
     /// Has not asked yet.
-    pub fn new(policy: LinkWatchPolicy) -> Self {
-        LinkWatch {
+    pub fn new(policy: LinkMonitorPolicy) -> Self {
+        LinkMonitor {
             policy,
             asked: None,
             seemed_lost: false,
@@ -68,28 +68,28 @@
     /// To be asked when the wait that was given last is over. `heard` is when
     /// anything came over the link last, or when the call was sent, whichever is
     /// later.
-    pub fn look(&mut self, heard: Instant, now: Instant) -> LinkStep {
+    pub fn check(&mut self, heard: Instant, now: Instant) -> LinkAction {
         let Some(asked) = self.asked.filter(|asked| heard <= *asked) else {
             return self.look_for_silence(heard, now);
         };
         let until = asked + self.policy.echo_within;
         if now < until {
-            return LinkStep::Wait(until);
+            return LinkAction::Wait(until);
         }
         if !std::mem::replace(&mut self.seemed_lost, true) {
-            return LinkStep::Wait(now + self.policy.looked_again_after);
+            return LinkAction::Wait(now + self.policy.looked_again_after);
         }
-        LinkStep::Lost
+        LinkAction::Lost
     }
 
-    fn look_for_silence(&mut self, heard: Instant, now: Instant) -> LinkStep {
+    fn look_for_silence(&mut self, heard: Instant, now: Instant) -> LinkAction {
         self.asked = None;
         self.seemed_lost = false;
         let until = heard + self.policy.asked_after;
         if now < until {
-            return LinkStep::Wait(until);
+            return LinkAction::Wait(until);
         }
         self.asked = Some(now);
-        LinkStep::Ask(now + self.policy.echo_within)
+        LinkAction::RequestEcho(now + self.policy.echo_within)
     }
 }
--- a/crates/hemlocktack-decide/src/objective_limit.rs
+++ b/crates/hemlocktack-decide/src/objective_limit.rs
@@ -5,7 +5,7 @@
 
 /// Numbers of [`ObjectiveLimit`].
 #[derive(Clone, Copy, Debug)]
-pub struct ObjectivePolicy {
+pub struct ObjectiveLimitPolicy {
     /// Shortest time between two changes.
     pub window: Duration,
     /// Fewest samples that a change may rest on.
@@ -42,9 +42,9 @@
     pub least_share: f64,
 }
 
-impl Default for ObjectivePolicy {
+impl Default for ObjectiveLimitPolicy {
     fn default() -> Self {
-        ObjectivePolicy {
+        ObjectiveLimitPolicy {
             window: Duration::from_millis(100),
             window_samples: 8,
             filled_share: 0.94,
@@ -74,7 +74,7 @@
 /// is as slow with fewer calls, and would lose its slots for nothing.
 #[derive(Debug)]
 pub(crate) struct ObjectiveLimit {
-    policy: ObjectivePolicy,
+    policy: ObjectiveLimitPolicy,
     slots: f64,
     limit: f64,
     /// Runs that end from here on have met the last change.
@@ -96,7 +96,7 @@
 const FREE_RUN_STEP: f64 = 0.25;
 
 impl ObjectiveLimit {
-    pub(crate) fn new(policy: ObjectivePolicy, slots: u32, now: Instant) -> Self {
+    pub(crate) fn new(policy: ObjectiveLimitPolicy, slots: u32, now: Instant) -> Self {
         let slots = (f64::from(slots) * policy.filled_share).max(1.0);
         ObjectiveLimit {
             policy,
--- a/crates/hemlocktack-decide/src/offer.rs
+++ b/crates/hemlocktack-decide/src/offer.rs
@@ -10,7 +10,7 @@
 
 /// A call that asks for a slot.
 #[derive(Clone, Copy, Debug)]
-pub struct Offer {
+pub struct OfferedCall {
     /// Number that this node gave the call. Senders' own numbers clash.
     pub call_id: CallId,
     /// Class of the root request.
@@ -35,10 +35,10 @@
 
 /// What becomes of an offered call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum AdmissionDecision {
     /// Hand it to the upstream now.
     Run,
-    /// It waits; [`crate::Admission::take_ready`] tells what becomes of it.
+    /// It waits; [`crate::Admission::take_decisions`] tells what becomes of it.
     Queued,
     /// It was not run and will not be.
     Refused(Refusal),
@@ -46,7 +46,7 @@
 
 /// What has become of a queued call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Decision {
+pub enum QueueDecision {
     /// Hand it to the upstream now.
     Run(CallId),
     /// It was not run and will not be.
@@ -55,13 +55,13 @@
 
 /// How a call ended in the upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum RunResult {
     /// With a whole answer.
     Answered,
     /// With a whole answer that reports a failure: its time says nothing.
     AnsweredWithFailure,
     /// With a failure, after a deeper call found no room.
-    LackedRoomBelow,
+    ChildLackedCapacity,
     /// Without one: connection lost, short answer, timeout.
     Failed,
     /// The upstream itself refused it unstarted.
@@ -74,9 +74,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelResult {
     /// It waited; it was not run and will not be.
-    Unqueued,
-    /// It runs: close its connection, then report [`Ended::Cancelled`].
+    Dequeued,
+    /// It runs: close its connection, then report [`RunResult::Cancelled`].
     Running,
     /// It has ended or was never offered.
-    NotHere,
+    UnknownCall,
 }
--- a/crates/hemlocktack-decide/src/peer_load.rs
+++ b/crates/hemlocktack-decide/src/peer_load.rs
@@ -161,7 +161,7 @@
     }
 
     /// How long to wait for an answer before asking [`PeerLoad::is_lost`].
-    pub fn patience(&self) -> Duration {
+    pub fn silence_timeout(&self) -> Duration {
         self.ordinary_silence() * SILENCES_BEFORE_GIVING_UP
     }
 
@@ -175,7 +175,7 @@
     /// as well; a slow peer answers its probes and is not given up.
     pub fn is_lost(&self, now: Instant) -> bool {
         let is_suspected = self.is_suspected.load(Ordering::Acquire);
-        is_suspected && self.silence(now) >= self.patience()
+        is_suspected && self.silence(now) >= self.silence_timeout()
     }
 
     fn is_silent(&self, now: Instant) -> bool {
--- a/crates/hemlocktack-decide/src/policy.rs
+++ b/crates/hemlocktack-decide/src/policy.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::limit::LimitPolicy;
-use crate::objective_limit::ObjectivePolicy;
+use crate::objective_limit::ObjectiveLimitPolicy;
 use crate::quarantine::QuarantinePolicy;
 use crate::retry_after::RetryAfterPolicy;
 use crate::shed::ShedPolicy;
@@ -15,7 +15,7 @@
     pub limit: LimitPolicy,
     /// Concurrency limit by operators' objectives, used instead where they
     /// state them.
-    pub objective: Option<ObjectivePolicy>,
+    pub objective: Option<ObjectiveLimitPolicy>,
     /// Shed level.
     pub shed: ShedPolicy,
     /// Crash quarantine.
--- a/crates/hemlocktack-decide/src/quarantine.rs
+++ b/crates/hemlocktack-decide/src/quarantine.rs
@@ -37,14 +37,14 @@
 
 /// How a fingerprint stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum QuarantineStatus {
     /// Nothing is known against it.
-    Free,
+    Clear,
     /// Ran in an upstream that crashed: at most one such call at a time in each
     /// upstream.
     Suspected,
     /// Was the only suspect in an upstream that crashed: refused.
-    Refused,
+    Quarantined,
 }
 
 /// What one node tells others of one fingerprint.
@@ -94,9 +94,9 @@
     }
 
     /// How the fingerprint stands now.
-    pub fn standing(&self, fingerprint: Fingerprint, now: Instant) -> Standing {
+    pub fn status(&self, fingerprint: Fingerprint, now: Instant) -> QuarantineStatus {
         let Some(record) = self.records.get(&fingerprint) else {
-            return Standing::Free;
+            return QuarantineStatus::Clear;
         };
         let age = now.saturating_duration_since(record.last_crash);
         let refused_for = if record.proven {
@@ -105,11 +105,11 @@
             Duration::ZERO
         };
         if age < refused_for {
-            Standing::Refused
+            QuarantineStatus::Quarantined
         } else if age < refused_for + self.policy.suspected_for {
-            Standing::Suspected
+            QuarantineStatus::Suspected
         } else {
-            Standing::Free
+            QuarantineStatus::Clear
         }
     }
 
@@ -153,7 +153,7 @@
     }
 
     /// What was found out here since the last call, for other nodes.
-    pub fn take_news(&mut self) -> Vec<Suspect> {
+    pub fn take_updates(&mut self) -> Vec<Suspect> {
         std::mem::take(&mut self.news)
     }
 
@@ -161,7 +161,7 @@
     pub fn refused(&self, now: Instant) -> Vec<Fingerprint> {
         let refused = self.records.keys().copied();
         refused
-            .filter(|fingerprint| self.standing(*fingerprint, now) == Standing::Refused)
+            .filter(|fingerprint| self.status(*fingerprint, now) == QuarantineStatus::Quarantined)
             .collect()
     }
 
--- a/crates/hemlocktack-decide/src/queue.rs
+++ b/crates/hemlocktack-decide/src/queue.rs
@@ -6,7 +6,7 @@
 
 use hemlocktack_protocol::{CallId, ClassRank, Fingerprint};
 
-use crate::offer::{Offer, WorkKind};
+use crate::offer::{OfferedCall, WorkKind};
 
 /// Classes told apart: as many as the operators may declare. Ranks beyond are
 /// treated as the last of these.
@@ -41,7 +41,7 @@
 }
 
 impl Waiting {
-    pub(crate) fn from_offer(offer: &Offer, now: Instant) -> Self {
+    pub(crate) fn from_offer(offer: &OfferedCall, now: Instant) -> Self {
         let worth_until = offer.objective.unwrap_or(offer.deadline);
         Waiting {
             call_id: offer.call_id,
--- a/crates/hemlocktack-decide/src/retry.rs
+++ b/crates/hemlocktack-decide/src/retry.rs
@@ -6,7 +6,7 @@
 
 use hemlocktack_protocol::{Reason, Unfinished};
 
-use crate::edge_budget::{EdgeBudget, RetryStanding};
+use crate::edge_budget::{EdgeRetryBudget, RetryPriority};
 
 /// Retries that are left to one request at one node.
 ///
@@ -22,15 +22,15 @@
 /// the entry could repeat. Both parts are granted once, so their sum bounds the
 /// chain as one grant did.
 #[derive(Debug)]
-pub struct Allowance {
+pub struct RetryAllowance {
     left: AtomicU32,
     own: Option<AtomicU32>,
 }
 
-impl Allowance {
+impl RetryAllowance {
     /// At the root: the caller kind's allowance; below: what came with the call.
     pub fn new(granted: u32) -> Self {
-        Allowance {
+        RetryAllowance {
             left: AtomicU32::new(granted),
             own: None,
         }
@@ -38,15 +38,15 @@
 
     /// At an entry that keeps `own` retries for its own sends and grants
     /// `for_chain` to the calls below.
-    pub fn with_own(own: u32, for_chain: u32) -> Self {
-        Allowance {
+    pub fn with_entry_share(own: u32, for_chain: u32) -> Self {
+        RetryAllowance {
             left: AtomicU32::new(for_chain),
             own: Some(AtomicU32::new(own)),
         }
     }
 
     /// Retries that sends from here may still be repeated with.
-    pub fn left_here(&self) -> u32 {
+    pub fn left_for_own_sends(&self) -> u32 {
         self.here().load(Ordering::Acquire)
     }
 
@@ -66,7 +66,7 @@
     }
 
     /// Takes one retry to spend it here; false when none is left.
-    pub fn take_one(&self) -> bool {
+    pub fn try_take(&self) -> bool {
         take_from(self.here(), 1) == 1
     }
 
@@ -84,7 +84,7 @@
 
     /// Takes the share that travels with one child call: all of it from an entry
     /// that keeps retries of its own.
-    pub fn give_to_child(&self) -> u32 {
+    pub fn grant_to_child(&self) -> u32 {
         let left = self.left();
         let share = match self.own {
             Some(_) => left,
@@ -96,7 +96,7 @@
     /// Puts back what a child did not spend. `given` is what went away with
     /// the child: a child that claims more back than it got must not create
     /// retries. A lost child gives nothing back, as it may have spent all.
-    pub fn give_back(&self, unspent: u32, given: u32) {
+    pub fn return_unspent(&self, unspent: u32, given: u32) {
         self.left.fetch_add(unspent.min(given), Ordering::AcqRel);
     }
 }
@@ -118,7 +118,7 @@
 /// service are cut off at once by a restart.
 pub(crate) const LEAST_RETRIES_MAX: u32 = 8;
 
-/// Numbers of [`EdgeBudget`].
+/// Numbers of [`EdgeRetryBudget`].
 #[derive(Clone, Copy, Debug)]
 pub struct RetryPolicy {
     /// Retries per thousand first tries that an edge may carry. At 100, retries
@@ -127,7 +127,7 @@
     /// Retries that an edge may make in any window, however quiet it is: it can
     /// still repeat the few calls that a restart cut off. Every node has such an
     /// edge, so in a fleet it is this node's part of what all may make
-    /// ([`crate::EdgeBudgets`]).
+    /// ([`crate::EdgeRetryBudgets`]).
     pub least_retries: u32,
 }
 
@@ -144,16 +144,16 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget<'a> {
     /// Of the request.
-    pub allowance: &'a Allowance,
+    pub allowance: &'a RetryAllowance,
     /// Of the edge to the service that is called.
-    pub edge: &'a EdgeBudget,
+    pub edge: &'a EdgeRetryBudget,
     /// Where the request stands among those that draw on the edge.
-    pub standing: RetryStanding,
+    pub priority: RetryPriority,
 }
 
 /// What to do about a call that ended without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RetryVerdict {
+pub enum RetryDecision {
     /// Send it again; one retry is taken from allowance and edge.
     Retry,
     /// Pass the end up as it is.
@@ -178,33 +178,33 @@
 /// retries. An unknown outcome is repeated only where the operators declared the
 /// request idempotent. A retry that cannot finish in the time left would be work
 /// for nobody.
-pub fn retry_verdict(
+pub fn decide_retry(
     unfinished: &Unfinished,
     idempotent: bool,
     time_left: Duration,
     expected: Duration,
     budget: &RetryBudget<'_>,
     now: Instant,
-) -> RetryVerdict {
+) -> RetryDecision {
     let safe = match unfinished {
         Unfinished::NotRun(refusal) => is_passing_fault(refusal.reason),
         Unfinished::Unknown(reason) => idempotent && is_passing_fault(*reason),
     };
     if !safe {
-        return RetryVerdict::PassUp;
+        return RetryDecision::PassUp;
     }
     if time_left < expected {
-        return RetryVerdict::TooLate;
+        return RetryDecision::TooLate;
     }
     let part = budget.allowance.part_for(unfinished);
     if take_from(part, 1) == 0 {
-        return RetryVerdict::AllowanceSpent;
+        return RetryDecision::AllowanceSpent;
     }
-    if !budget.edge.take_one(budget.standing, now) {
+    if !budget.edge.try_take(budget.priority, now) {
         part.fetch_add(1, Ordering::AcqRel);
-        return RetryVerdict::EdgeSpent;
+        return RetryDecision::EdgeSpent;
     }
-    RetryVerdict::Retry
+    RetryDecision::Retry
 }
 
 /// End of a call that was sent several times, as the caller is told it.
@@ -213,7 +213,7 @@
 /// a lie, as the first send may have run, and the caller would send it again as
 /// if nothing had happened. Unknown once is unknown in the end, unless a later
 /// send is answered.
-pub fn end_of_tries(earlier: Option<Unfinished>, last: Unfinished) -> Unfinished {
+pub fn combined_outcome(earlier: Option<Unfinished>, last: Unfinished) -> Unfinished {
     match earlier {
         Some(Unfinished::Unknown(reason)) => Unfinished::Unknown(reason),
         Some(Unfinished::NotRun(_)) | None => last,
--- a/crates/hemlocktack-decide/src/retry_after.rs
+++ b/crates/hemlocktack-decide/src/retry_after.rs
@@ -33,7 +33,7 @@
 /// in a second, with a run of one second and an objective of two, come back too
 /// late whatever happens then, and each slot that they get answers one late
 /// that could have answered another in time.
-pub fn within_objective(wait: Duration, objective_left: Duration, expected: Duration) -> Duration {
+pub fn cap_to_objective(wait: Duration, objective_left: Duration, expected: Duration) -> Duration {
     let slack = objective_left.saturating_sub(expected);
     if slack < LEAST_SLACK {
         return wait;
--- a/crates/hemlocktack-decide/src/sends.rs
+++ b/crates/hemlocktack-decide/src/sends.rs
@@ -6,7 +6,7 @@
 use strum::{EnumCount, EnumIter, IntoStaticStr};
 
 use crate::moves::Moves;
-use crate::retry::RetryVerdict;
+use crate::retry::RetryDecision;
 
 /// Pause before a call goes again to upstreams that have turned it away, for each
 /// time but the first: a quarter of what today's shortest calls take. An upstream
@@ -41,19 +41,19 @@
 
 impl NextStep {
     /// Whether the call is sent once more.
-    pub fn goes_on(self) -> bool {
+    pub fn sends_again(self) -> bool {
         matches!(self, NextStep::Moved | NextStep::Retried)
     }
 }
 
-impl From<RetryVerdict> for NextStep {
-    fn from(verdict: RetryVerdict) -> NextStep {
+impl From<RetryDecision> for NextStep {
+    fn from(verdict: RetryDecision) -> NextStep {
         match verdict {
-            RetryVerdict::Retry => NextStep::Retried,
-            RetryVerdict::PassUp => NextStep::PassedUp,
-            RetryVerdict::TooLate => NextStep::TooLate,
-            RetryVerdict::AllowanceSpent => NextStep::AllowanceUsedUp,
-            RetryVerdict::EdgeSpent => NextStep::EdgeUsedUp,
+            RetryDecision::Retry => NextStep::Retried,
+            RetryDecision::PassUp => NextStep::PassedUp,
+            RetryDecision::TooLate => NextStep::TooLate,
+            RetryDecision::AllowanceSpent => NextStep::AllowanceUsedUp,
+            RetryDecision::EdgeSpent => NextStep::EdgeUsedUp,
         }
     }
 }
@@ -95,13 +95,13 @@
 
     /// Whether the next send may go to this node: another than the last one, and
     /// one that has turned the call away may be asked again.
-    pub fn may_get_it(&self, node: usize) -> bool {
+    pub fn may_send_to(&self, node: usize) -> bool {
         let may_be_new = self.reached.len() < self.upstreams_most;
         self.last != Some(node) && (may_be_new || self.reached.contains(&node))
     }
 
-    /// The node that gets it again where [`CallSends::may_get_it`] leaves none.
-    pub fn same_again(&self) -> Option<usize> {
+    /// The node that gets it again where [`CallSends::may_send_to`] leaves none.
+    pub fn resend_target(&self) -> Option<usize> {
         self.last.filter(|_| self.turned_away > 0)
     }
 
@@ -117,13 +117,13 @@
 
     /// How long to wait before the next send, if at all: a timer costs each call
     /// up to a millisecond.
-    pub fn pause(&self) -> Option<Duration> {
+    pub fn resend_delay(&self) -> Option<Duration> {
         let turns = self.turned_away.saturating_sub(1);
         (turns > 0).then(|| PAUSE_A_TURN * turns)
     }
 
     /// Counts the end of a send to this node.
-    pub fn ended(&mut self, node: usize, unfinished: &Unfinished) {
+    pub fn send_ended(&mut self, node: usize, unfinished: &Unfinished) {
         self.last = Some(node);
         let may_have_run = matches!(unfinished, Unfinished::Unknown(_));
         let is_turned_away = unfinished.reason() == Reason::UpstreamShed;
@@ -141,7 +141,7 @@
         &mut self,
         unfinished: &Unfinished,
         has_node_left: bool,
-        retry: impl FnOnce() -> RetryVerdict,
+        retry: impl FnOnce() -> RetryDecision,
     ) -> NextStep {
         match unfinished {
             Unfinished::Unknown(_) if self.may_have_run >= self.upstreams_most => {
--- a/crates/hemlocktack-decide/src/shed/chain_edges.rs
+++ b/crates/hemlocktack-decide/src/shed/chain_edges.rs
@@ -31,7 +31,7 @@
 
 impl ChainEdges {
     /// A call of `kind` was answered having made deeper calls of these kinds.
-    pub fn answered(&mut self, kind: WorkKind, deeper: &[WorkKind]) {
+    pub fn record_answer(&mut self, kind: WorkKind, deeper: &[WorkKind]) {
         let of_kind = |edge: &Edge| edge.caller == kind;
         for (edge, share) in self.shares.iter_mut().filter(|(edge, _)| of_kind(edge)) {
             let needed = f64::from(u8::from(deeper.contains(&edge.callee)));
--- a/crates/hemlocktack-decide/src/usual_patience.rs
+++ b/crates/hemlocktack-decide/src/usual_patience.rs
@@ -22,7 +22,7 @@
 /// comes back waits only the rest of its patience, and most requests are fresh,
 /// so the patience that is met most is the whole one (Misra-Gries counts).
 #[derive(Clone, Debug, Default)]
-pub struct UsualPatience {
+pub struct CallerTimeoutEstimator {
     candidates: [Candidate; CANDIDATES],
 }
 
@@ -32,9 +32,9 @@
     count: u32,
 }
 
-impl UsualPatience {
+impl CallerTimeoutEstimator {
     /// Takes in how long a caller says it waits; how long it has waited before.
-    pub fn waited(&mut self, patience: Duration) -> Duration {
+    pub fn estimate_waited(&mut self, patience: Duration) -> Duration {
         self.count(patience);
         let usual = self
             .candidates
--- a/crates/hemlocktack-decide/tests/admission.rs
+++ b/crates/hemlocktack-decide/tests/admission.rs
@@ -4,7 +4,8 @@
 use std::time::{Duration, Instant};
 
 use hemlocktack_decide::{
-    Admission, AdmissionPolicy, CancelResult, Decision, Ended, Offer, ShedLevel, Verdict,
+    Admission, AdmissionDecision, AdmissionPolicy, CancelResult, OfferedCall, QueueDecision,
+    RunResult, ShedLevel,
 };
 use hemlocktack_protocol::{CallId, Reason, UpstreamState};
 use rand::rngs::SmallRng;
@@ -19,8 +20,8 @@
     admission
 }
 
-fn offer(call_id: CallId, class_rank: u8, now: Instant) -> Offer {
-    Offer {
+fn offer(call_id: CallId, class_rank: u8, now: Instant) -> OfferedCall {
+    OfferedCall {
         call_id,
         class_rank,
         deadline: now + PATIENCE,
@@ -33,9 +34,9 @@
     }
 }
 
-fn ready(admission: &mut Admission, now: Instant) -> Vec<Decision> {
+fn ready(admission: &mut Admission, now: Instant) -> Vec<QueueDecision> {
     let mut decisions = Vec::new();
-    admission.take_ready(now, &mut decisions);
+    admission.take_decisions(now, &mut decisions);
     decisions
 }
 
@@ -43,21 +44,33 @@
 fn runs_up_to_the_slots_and_queues_the_rest_by_class() {
     let now = Instant::now();
     let mut admission = admission(2, now);
-    assert_eq!(admission.offer(&offer(1, 1, now), now), Verdict::Run);
-    assert_eq!(admission.offer(&offer(2, 1, now), now), Verdict::Run);
-    assert_eq!(admission.offer(&offer(3, 1, now), now), Verdict::Queued);
-    assert_eq!(admission.offer(&offer(4, 0, now), now), Verdict::Queued);
-    let invested = Offer {
+    assert_eq!(
+        admission.offer(&offer(1, 1, now), now),
+        AdmissionDecision::Run
+    );
+    assert_eq!(
+        admission.offer(&offer(2, 1, now), now),
+        AdmissionDecision::Run
+    );
+    assert_eq!(
+        admission.offer(&offer(3, 1, now), now),
+        AdmissionDecision::Queued
+    );
+    assert_eq!(
+        admission.offer(&offer(4, 0, now), now),
+        AdmissionDecision::Queued
+    );
+    let invested = OfferedCall {
         work_spent: WORK,
         ..offer(5, 1, now)
     };
-    assert_eq!(admission.offer(&invested, now), Verdict::Queued);
+    assert_eq!(admission.offer(&invested, now), AdmissionDecision::Queued);
     let mut order = Vec::new();
     for done in [1, 2, 4, 5] {
-        admission.finish(done, Ended::Answered, Duration::ZERO, now + WORK);
+        admission.finish(done, RunResult::Answered, Duration::ZERO, now + WORK);
         order.extend(ready(&mut admission, now + WORK));
     }
-    let expected = [4, 5, 3].map(Decision::Run);
+    let expected = [4, 5, 3].map(QueueDecision::Run);
     assert_eq!(order, expected);
 }
 
@@ -66,12 +79,15 @@
     let now = Instant::now();
     let mut admission = admission(1, now);
     admission.offer(&offer(0, 1, now), now);
-    let queued =
-        (1..).take_while(|id| admission.offer(&offer(*id, 1, now), now) == Verdict::Queued);
+    let queued = (1..)
+        .take_while(|id| admission.offer(&offer(*id, 1, now), now) == AdmissionDecision::Queued);
     let last_queued = queued.last().unwrap();
-    assert_eq!(admission.offer(&offer(900, 0, now), now), Verdict::Queued);
+    assert_eq!(
+        admission.offer(&offer(900, 0, now), now),
+        AdmissionDecision::Queued
+    );
     let decisions = ready(&mut admission, now);
-    let [Decision::Refuse(evicted, refusal)] = decisions[..] else {
+    let [QueueDecision::Refuse(evicted, refusal)] = decisions[..] else {
         panic!("one call gives way: {decisions:?}");
     };
     assert_eq!((evicted, refusal.reason), (last_queued, Reason::QueueFull));
@@ -84,13 +100,13 @@
     let mut admission = admission(1, now);
     admission.offer(&offer(1, 0, now), now);
     let later = now + Duration::from_millis(100);
-    admission.finish(1, Ended::Answered, Duration::ZERO, later);
+    admission.finish(1, RunResult::Answered, Duration::ZERO, later);
     admission.offer(&offer(2, 0, later), later);
-    let hurried = Offer {
+    let hurried = OfferedCall {
         deadline: later + Duration::from_millis(150),
         ..offer(3, 0, later)
     };
-    let Verdict::Refused(refusal) = admission.offer(&hurried, later) else {
+    let AdmissionDecision::Refused(refusal) = admission.offer(&hurried, later) else {
         panic!("100 ms of wait and 100 ms of work do not fit into 150 ms");
     };
     assert_eq!(refusal.reason, Reason::DeadlineTooShort);
@@ -103,16 +119,16 @@
     for call_id in 1..=3 {
         admission.offer(&offer(call_id, 0, now), now);
     }
-    assert_eq!(admission.cancel(2), CancelResult::Unqueued);
+    assert_eq!(admission.cancel(2), CancelResult::Dequeued);
     assert_eq!(admission.cancel(1), CancelResult::Running);
-    assert_eq!(admission.cancel(9), CancelResult::NotHere);
+    assert_eq!(admission.cancel(9), CancelResult::UnknownCall);
     let late = now + PATIENCE;
     let decisions = ready(&mut admission, late);
     assert!(matches!(
         decisions[..],
-        [Decision::Refuse(3, refusal)] if refusal.reason == Reason::QueueTimeout
+        [QueueDecision::Refuse(3, refusal)] if refusal.reason == Reason::QueueTimeout
     ));
-    admission.finish(1, Ended::Cancelled, Duration::ZERO, late);
+    admission.finish(1, RunResult::Cancelled, Duration::ZERO, late);
     assert_eq!(ready(&mut admission, late), []);
 }
 
@@ -123,12 +139,12 @@
     admission.offer(&offer(1, 0, now), now);
     admission.offer(&offer(2, 0, now), now);
     admission.drain(Reason::UpstreamDraining);
-    let Verdict::Refused(refusal) = admission.offer(&offer(3, 0, now), now) else {
+    let AdmissionDecision::Refused(refusal) = admission.offer(&offer(3, 0, now), now) else {
         panic!("nothing new while draining");
     };
     assert_eq!(refusal.reason, Reason::UpstreamDraining);
-    admission.finish(1, Ended::Answered, Duration::ZERO, now + WORK);
-    assert_eq!(ready(&mut admission, now + WORK), [Decision::Run(2)]);
+    admission.finish(1, RunResult::Answered, Duration::ZERO, now + WORK);
+    assert_eq!(ready(&mut admission, now + WORK), [QueueDecision::Run(2)]);
 }
 
 /// The caller sees requests refused as `shed` though the upstream is idle half
@@ -148,19 +164,19 @@
         {
             let ended: Vec<_> = running.extract_if(.., |(at, _)| *at <= ends).collect();
             for (_, call_id) in ended {
-                admission.finish(call_id, Ended::Answered, Duration::ZERO, ends);
+                admission.finish(call_id, RunResult::Answered, Duration::ZERO, ends);
             }
             for decision in ready(&mut admission, ends) {
-                let Decision::Run(call_id) = decision else {
+                let QueueDecision::Run(call_id) = decision else {
                     panic!("{decision:?}");
                 };
                 running.push((ends + work, call_id));
             }
         }
         match admission.offer(&offer(call_id, 1, arrives), arrives) {
-            Verdict::Run => running.push((arrives + work, call_id)),
-            Verdict::Queued => {}
-            Verdict::Refused(refusal) => panic!("call {call_id}: {refusal}"),
+            AdmissionDecision::Run => running.push((arrives + work, call_id)),
+            AdmissionDecision::Queued => {}
+            AdmissionDecision::Refused(refusal) => panic!("call {call_id}: {refusal}"),
         }
         assert_eq!(admission.shed_level(), ShedLevel::OPEN, "call {call_id}");
     }
@@ -194,7 +210,7 @@
         let now = Instant::now();
         let mut admission = Admission::new(AdmissionPolicy::default(), now);
         for upstream in order {
-            admission.follow(*upstream, 4, 32, now);
+            admission.sync_upstream_state(*upstream, 4, 32, now);
         }
         let verdict = admission.offer(&offer(number as CallId, 0, now), now);
         let expected = match order[2] {
@@ -203,8 +219,8 @@
             Absent | UpstreamState::Unspecified => Some(Reason::NoUpstream),
         };
         let refused = match verdict {
-            Verdict::Refused(refusal) => Some(refusal.reason),
-            Verdict::Run | Verdict::Queued => None,
+            AdmissionDecision::Refused(refusal) => Some(refusal.reason),
+            AdmissionDecision::Run | AdmissionDecision::Queued => None,
         };
         assert_eq!(refused, expected, "{order:?}");
     }
--- a/crates/hemlocktack-decide/tests/after_overload.rs
+++ b/crates/hemlocktack-decide/tests/after_overload.rs
@@ -3,7 +3,8 @@
 use std::time::{Duration, Instant};
 
 use hemlocktack_decide::{
-    Admission, AdmissionPolicy, Decision, Ended, ObjectivePolicy, Offer, Verdict,
+    Admission, AdmissionDecision, AdmissionPolicy, ObjectiveLimitPolicy, OfferedCall,
+    QueueDecision, RunResult,
 };
 use hemlocktack_protocol::Reason;
 
@@ -15,7 +16,7 @@
 
 fn admission(now: Instant) -> Admission {
     let policy = AdmissionPolicy {
-        objective: Some(ObjectivePolicy::default()),
+        objective: Some(ObjectiveLimitPolicy::default()),
         ..AdmissionPolicy::default()
     };
     let mut admission = Admission::new(policy, now);
@@ -24,8 +25,8 @@
 }
 
 /// A deeper read, three hops below a lookup.
-fn read(call_id: u64, now: Instant) -> Offer {
-    Offer {
+fn read(call_id: u64, now: Instant) -> OfferedCall {
+    OfferedCall {
         call_id,
         class_rank: 2,
         deadline: now + PATIENCE,
@@ -39,8 +40,8 @@
 }
 
 /// Payments of another kind that keep all slots busy.
-fn payment(call_id: u64, now: Instant) -> Offer {
-    Offer {
+fn payment(call_id: u64, now: Instant) -> OfferedCall {
+    OfferedCall {
         class_rank: 0,
         deadline: now + PATIENCE * 4,
         work_spent: Duration::ZERO,
@@ -59,26 +60,32 @@
     let start = Instant::now();
     let mut admission = admission(start);
     for call_id in 0..8 {
-        assert_eq!(admission.offer(&read(call_id, start), start), Verdict::Run);
+        assert_eq!(
+            admission.offer(&read(call_id, start), start),
+            AdmissionDecision::Run
+        );
     }
     let now = start + OVERLOADED;
     for call_id in 0..8 {
-        admission.finish(call_id, Ended::Answered, OVERLOADED - OWN, now);
+        admission.finish(call_id, RunResult::Answered, OVERLOADED - OWN, now);
     }
     let mut payments = 1_000;
-    while admission.offer(&payment(payments, now), now) == Verdict::Run {
+    while admission.offer(&payment(payments, now), now) == AdmissionDecision::Run {
         payments += 1;
     }
     admission.cancel(payments);
-    let Verdict::Refused(refusal) = admission.offer(&read(2_000, now), now) else {
+    let AdmissionDecision::Refused(refusal) = admission.offer(&read(2_000, now), now) else {
         panic!("a read that takes 1.3 s does not fit into 1.5 s beside others");
     };
     assert_eq!(refusal.reason, Reason::DeadlineTooShort);
     let later = now + OVERLOADED + Duration::from_secs(1);
-    assert_eq!(admission.offer(&read(2_001, later), later), Verdict::Queued);
-    admission.finish(1_000, Ended::Answered, Duration::ZERO, later);
+    assert_eq!(
+        admission.offer(&read(2_001, later), later),
+        AdmissionDecision::Queued
+    );
+    admission.finish(1_000, RunResult::Answered, Duration::ZERO, later);
     let mut decisions = Vec::new();
-    admission.take_ready(later, &mut decisions);
-    let runs = |decision: &Decision| *decision == Decision::Run(2_001);
+    admission.take_decisions(later, &mut decisions);
+    let runs = |decision: &QueueDecision| *decision == QueueDecision::Run(2_001);
     assert!(decisions.iter().any(runs), "{decisions:?}");
 }
--- a/crates/hemlocktack-decide/tests/edge_budget.rs
+++ b/crates/hemlocktack-decide/tests/edge_budget.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use hemlocktack_decide::{EdgeBudget, RetryPolicy, RetryStanding};
+use hemlocktack_decide::{EdgeRetryBudget, RetryPolicy, RetryPriority};
 
 const POLICY: RetryPolicy = RetryPolicy {
     share_per_mille: 160,
@@ -13,16 +13,16 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 /// Tries and retries of each second; every first try asks for `wanted` retries.
-fn play(edge: &EdgeBudget, from: Instant, first_tries: &[u32], wanted: u32) -> Vec<u32> {
+fn play(edge: &EdgeRetryBudget, from: Instant, first_tries: &[u32], wanted: u32) -> Vec<u32> {
     let play_second = |(second, first_tries): (usize, &u32)| {
         let begin = from + SECOND * second as u32;
         let pause = SECOND / (first_tries + 1);
         let tries = (0..*first_tries).map(|number| begin + pause * number);
         tries
             .map(|now| {
-                edge.first_try(now);
+                edge.record_first_attempt(now);
                 (0..wanted)
-                    .filter(|_| edge.take_one(RetryStanding::FIRST, now))
+                    .filter(|_| edge.try_take(RetryPriority::HIGHEST, now))
                     .count() as u32
             })
             .sum()
@@ -38,7 +38,7 @@
 #[test]
 fn a_fault_of_seconds_may_use_the_share_of_the_calls_before_it() {
     let now = Instant::now();
-    let edge = EdgeBudget::new(POLICY, now);
+    let edge = EdgeRetryBudget::new(POLICY, now);
     let before = [FIRST_TRIES_A_SECOND; 12];
     assert_eq!(play(&edge, now, &before, 0), [0; 12]);
     let during = [FIRST_TRIES_A_SECOND / 3; 8];
@@ -56,7 +56,7 @@
 #[test]
 fn an_edge_carries_at_most_its_share_in_any_window() {
     let now = Instant::now();
-    let edge = EdgeBudget::new(POLICY, now);
+    let edge = EdgeRetryBudget::new(POLICY, now);
     let retries = play(&edge, now, &[FIRST_TRIES_A_SECOND; 60], 1);
     let most = 10 * FIRST_TRIES_A_SECOND * POLICY.share_per_mille / 1000 + POLICY.least_retries;
     for window in retries.windows(10) {
@@ -71,10 +71,10 @@
 #[test]
 fn a_quiet_edge_can_repeat_a_few_calls() {
     let now = Instant::now();
-    let edge = EdgeBudget::new(POLICY, now);
+    let edge = EdgeRetryBudget::new(POLICY, now);
     let take_all = |now| {
         (0..100)
-            .filter(|_| edge.take_one(RetryStanding::FIRST, now))
+            .filter(|_| edge.try_take(RetryPriority::HIGHEST, now))
             .count()
     };
     assert_eq!(take_all(now), 8);
@@ -87,21 +87,21 @@
 #[test]
 fn calls_of_a_repeated_run_count_as_retries() {
     let now = Instant::now();
-    let edge = EdgeBudget::new(POLICY, now);
-    (0..8).for_each(|_| edge.repeated_below(now));
-    assert!(!edge.take_one(RetryStanding::FIRST, now));
+    let edge = EdgeRetryBudget::new(POLICY, now);
+    (0..8).for_each(|_| edge.record_repeated_call(now));
+    assert!(!edge.try_take(RetryPriority::HIGHEST, now));
 }
 
 /// A second of a fault: so many requests of a class, each of which asks for four
 /// retries and gives up at the first that it does not get. Returns how many got
 /// all, and how many a part.
-fn play_requests(edge: &EdgeBudget, begin: Instant, class: u8, requests: u64) -> (u64, u64) {
+fn play_requests(edge: &EdgeRetryBudget, begin: Instant, class: u8, requests: u64) -> (u64, u64) {
     const CLASSES: usize = 4;
     let (mut whole, mut part) = (0, 0);
     for request in 0..requests {
         let now = begin + SECOND * request as u32 / requests as u32;
-        let standing = RetryStanding::new(class, CLASSES, request * 7 + 1, false);
-        let taken = (0..4).take_while(|_| edge.take_one(standing, now)).count();
+        let standing = RetryPriority::new(class, CLASSES, request * 7 + 1, false);
+        let taken = (0..4).take_while(|_| edge.try_take(standing, now)).count();
         whole += u64::from(taken == 4);
         part += u64::from((1..4).contains(&taken));
     }
@@ -115,7 +115,7 @@
 #[test]
 fn a_scarce_share_goes_to_whole_requests() {
     let now = Instant::now();
-    let edge = EdgeBudget::new(POLICY, now);
+    let edge = EdgeRetryBudget::new(POLICY, now);
     play(&edge, now, &[FIRST_TRIES_A_SECOND; 10], 0);
     let mut lookups = Vec::new();
     let mut grants = 0;
@@ -135,7 +135,7 @@
 #[test]
 fn a_fault_within_the_share_is_answered_whole() {
     let now = Instant::now();
-    let edge = EdgeBudget::new(POLICY, now);
+    let edge = EdgeRetryBudget::new(POLICY, now);
     play(&edge, now, &[FIRST_TRIES_A_SECOND; 10], 0);
     for second in 10..40 {
         let begin = now + SECOND * second;
--- a/crates/hemlocktack-decide/tests/edge_budgets.rs
+++ b/crates/hemlocktack-decide/tests/edge_budgets.rs
@@ -2,7 +2,9 @@
 
 use std::time::{Duration, Instant};
 
-use hemlocktack_decide::{EdgeBudget, EdgeBudgets, FleetRetries, NodePlace, RetryStanding};
+use hemlocktack_decide::{
+    EdgeRetryBudget, EdgeRetryBudgets, FleetRetryLimits, NodePosition, RetryPriority,
+};
 use hemlocktack_protocol::ServiceName;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -13,27 +15,27 @@
     "diaries".into()
 }
 
-fn budgets_of_fleet(allowed: FleetRetries, nodes: usize) -> Vec<EdgeBudgets> {
+fn budgets_of_fleet(allowed: FleetRetryLimits, nodes: usize) -> Vec<EdgeRetryBudgets> {
     (0..nodes)
         .map(|index| {
-            let place = NodePlace {
+            let place = NodePosition {
                 index,
                 count: nodes,
             };
-            EdgeBudgets::new(allowed, place)
+            EdgeRetryBudgets::new(allowed, place)
         })
         .collect()
 }
 
-fn take_all(edge: &EdgeBudget, now: Instant) -> u32 {
+fn take_all(edge: &EdgeRetryBudget, now: Instant) -> u32 {
     (0..1_000)
-        .take_while(|_| edge.take_one(RetryStanding::FIRST, now))
+        .take_while(|_| edge.try_take(RetryPriority::HIGHEST, now))
         .count() as u32
 }
 
 /// Most retries of all nodes in any ten seconds, where each node makes one first
 /// try a second or fewer and every call wants all the retries that it can get.
-fn most_retries(allowed: FleetRetries, nodes: usize, seconds_between_tries: u64) -> (u32, u32) {
+fn most_retries(allowed: FleetRetryLimits, nodes: usize, seconds_between_tries: u64) -> (u32, u32) {
     const SECONDS: u64 = 40;
     let now = Instant::now();
     let mut budgets = budgets_of_fleet(allowed, nodes);
@@ -46,7 +48,7 @@
                 continue;
             }
             let edge = budgets.edge(&service(), at);
-            edge.first_try(at);
+            edge.record_first_attempt(at);
             first_tries += 1;
             retries[second as usize] += take_all(&edge, at);
         }
@@ -62,14 +64,14 @@
 /// part of one node is the smaller the more nodes there are.
 #[test]
 fn many_nodes_with_a_few_calls_each_stay_within_what_operators_allow_together() {
-    for (nodes, beside_share) in [(17, 57), (74, 69), (560, 57)] {
-        let allowed = FleetRetries {
+    for (nodes, min_retries) in [(17, 57), (74, 69), (560, 57)] {
+        let allowed = FleetRetryLimits {
             share_per_mille: 200,
-            beside_share,
+            min_retries,
         };
         for seconds_between_tries in [1, 3, 10] {
             let (most, first_tries) = most_retries(allowed, nodes, seconds_between_tries);
-            let bound = first_tries * allowed.share_per_mille / 1_000 + beside_share;
+            let bound = first_tries * allowed.share_per_mille / 1_000 + min_retries;
             assert!(most <= bound, "{nodes} nodes: {most} of {bound}");
             assert!(most > 0, "{nodes} nodes make no retry at all");
         }
@@ -81,9 +83,9 @@
 /// them anew, and the callers' repeats would meet the service as it starts.
 #[test]
 fn a_service_that_comes_back_finds_its_retries_spent() {
-    let allowed = FleetRetries {
+    let allowed = FleetRetryLimits {
         share_per_mille: 200,
-        beside_share: 57,
+        min_retries: 57,
     };
     let now = Instant::now();
     let mut budgets = budgets_of_fleet(allowed, 1).remove(0);
@@ -100,7 +102,7 @@
 #[test]
 fn an_old_edge_outlives_its_service_as_a_young_one_does() {
     let begin = Instant::now();
-    let mut budgets = budgets_of_fleet(FleetRetries::default(), 1).remove(0);
+    let mut budgets = budgets_of_fleet(FleetRetryLimits::default(), 1).remove(0);
     budgets.edge(&service(), begin);
     let now = begin + SECOND * 3_600;
     let edge = budgets.edge(&service(), now);
--- a/crates/hemlocktack-decide/tests/fresh_beside_deeper.rs
+++ b/crates/hemlocktack-decide/tests/fresh_beside_deeper.rs
@@ -3,7 +3,8 @@
 use std::time::{Duration, Instant};
 
 use hemlocktack_decide::{
-    Admission, AdmissionPolicy, Decision, Ended, ObjectivePolicy, Offer, Verdict,
+    Admission, AdmissionDecision, AdmissionPolicy, ObjectiveLimitPolicy, OfferedCall,
+    QueueDecision, RunResult,
 };
 
 /// A small service three hops down: a lookup needs it four times, and a
@@ -42,20 +43,20 @@
         let ended: Vec<_> = ended;
         for (_, call_id) in ended {
             self.admission
-                .finish(call_id, Ended::Answered, Duration::ZERO, now);
+                .finish(call_id, RunResult::Answered, Duration::ZERO, now);
         }
         let mut decisions = Vec::new();
-        self.admission.take_ready(now, &mut decisions);
+        self.admission.take_decisions(now, &mut decisions);
         for decision in decisions {
-            if let Decision::Run(call_id) = decision {
+            if let QueueDecision::Run(call_id) = decision {
                 self.start(call_id, now);
             }
         }
     }
 }
 
-fn offer(call_id: u64, is_deeper: bool, now: Instant) -> Offer {
-    Offer {
+fn offer(call_id: u64, is_deeper: bool, now: Instant) -> OfferedCall {
+    OfferedCall {
         call_id,
         class_rank: 2,
         deadline: now + if is_deeper { PATIENCE } else { OBJECTIVE * 4 },
@@ -75,7 +76,7 @@
 #[test]
 fn a_few_fresh_requests_have_their_turn_beside_deeper_calls() {
     let policy = AdmissionPolicy {
-        objective: Some(ObjectivePolicy::default()),
+        objective: Some(ObjectiveLimitPolicy::default()),
         ..AdmissionPolicy::default()
     };
     let mut now = Instant::now();
@@ -100,7 +101,7 @@
             cancellations += 1;
         }
         for offer in offers {
-            if service.admission.offer(&offer, now) == Verdict::Run {
+            if service.admission.offer(&offer, now) == AdmissionDecision::Run {
                 service.start(offer.call_id, now);
             }
         }
--- a/crates/hemlocktack-decide/tests/link_watch.rs
+++ b/crates/hemlocktack-decide/tests/link_watch.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use hemlocktack_decide::{LinkStep, LinkWatch, LinkWatchPolicy};
+use hemlocktack_decide::{LinkAction, LinkMonitor, LinkMonitorPolicy};
 
 /// Lets time pass step by step. `heard_at` are the moments at which something
 /// comes over the link, echoes or not; the moments of echoes asked for, and
@@ -10,15 +10,15 @@
 fn watch(heard_at: impl Fn(&[u64]) -> Option<u64>, until_ms: u64) -> (Vec<u64>, Option<u64>) {
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
-    let mut watch = LinkWatch::new(LinkWatchPolicy::default());
+    let mut watch = LinkMonitor::new(LinkMonitorPolicy::default());
     let mut asked = Vec::new();
     let mut now_ms = 0;
     while now_ms <= until_ms {
         let heard_ms = heard_at(&asked).filter(|heard_ms| *heard_ms <= now_ms);
-        let next = match watch.look(at(heard_ms.unwrap_or(0)), at(now_ms)) {
-            LinkStep::Lost => return (asked, Some(now_ms)),
-            LinkStep::Wait(until) => until,
-            LinkStep::Ask(until) => {
+        let next = match watch.check(at(heard_ms.unwrap_or(0)), at(now_ms)) {
+            LinkAction::Lost => return (asked, Some(now_ms)),
+            LinkAction::Wait(until) => until,
+            LinkAction::RequestEcho(until) => {
                 asked.push(now_ms);
                 until
             }
@@ -60,12 +60,15 @@
 #[test]
 fn what_lies_unread_counts_before_a_link_is_lost() {
     let start = Instant::now();
-    let mut watch = LinkWatch::new(LinkWatchPolicy::default());
+    let mut watch = LinkMonitor::new(LinkMonitorPolicy::default());
     let asked = start + Duration::from_millis(150);
-    assert!(matches!(watch.look(start, asked), LinkStep::Ask(_)));
+    assert!(matches!(
+        watch.check(start, asked),
+        LinkAction::RequestEcho(_)
+    ));
     let woken = start + Duration::from_secs(5);
-    assert!(matches!(watch.look(start, woken), LinkStep::Wait(_)));
+    assert!(matches!(watch.check(start, woken), LinkAction::Wait(_)));
     let read = woken + Duration::from_millis(1);
-    let look = watch.look(read, woken + Duration::from_millis(20));
-    assert!(matches!(look, LinkStep::Wait(_)), "{look:?}");
+    let check = watch.check(read, woken + Duration::from_millis(20));
+    assert!(matches!(check, LinkAction::Wait(_)), "{check:?}");
 }
--- a/crates/hemlocktack-decide/tests/objectives.rs
+++ b/crates/hemlocktack-decide/tests/objectives.rs
@@ -2,7 +2,9 @@
 
 use std::time::{Duration, Instant};
 
-use hemlocktack_decide::{Admission, AdmissionPolicy, Ended, ObjectivePolicy, Offer, Verdict};
+use hemlocktack_decide::{
+    Admission, AdmissionDecision, AdmissionPolicy, ObjectiveLimitPolicy, OfferedCall, RunResult,
+};
 
 const SLOTS: u32 = 92;
 /// Of 92, as some upstreams slow down when they are nearly full.
@@ -13,7 +15,7 @@
 
 fn admission(now: Instant) -> Admission {
     let policy = AdmissionPolicy {
-        objective: Some(ObjectivePolicy::default()),
+        objective: Some(ObjectiveLimitPolicy::default()),
         ..AdmissionPolicy::default()
     };
     let mut admission = Admission::new(policy, now);
@@ -21,8 +23,8 @@
     admission
 }
 
-fn offer(call_id: u64, now: Instant) -> Offer {
-    Offer {
+fn offer(call_id: u64, now: Instant) -> OfferedCall {
+    OfferedCall {
         call_id,
         class_rank: 2,
         deadline: now + PATIENCE,
@@ -46,20 +48,20 @@
         let mut running = Vec::new();
         for _ in 0..SLOTS * 2 {
             next_call += 1;
-            if admission.offer(&offer(next_call, now), now) == Verdict::Run {
+            if admission.offer(&offer(next_call, now), now) == AdmissionDecision::Run {
                 running.push(next_call);
             }
         }
         now += run;
         for call_id in running {
-            admission.finish(call_id, Ended::Answered, run - own, now);
+            admission.finish(call_id, RunResult::Answered, run - own, now);
         }
         let mut decisions = Vec::new();
-        admission.take_ready(now + PATIENCE, &mut decisions);
+        admission.take_decisions(now + PATIENCE, &mut decisions);
         now += PATIENCE;
         for call_id in 1..=next_call {
             admission.cancel(call_id);
-            admission.finish(call_id, Ended::Cancelled, Duration::ZERO, now);
+            admission.finish(call_id, RunResult::Cancelled, Duration::ZERO, now);
         }
         limits.push(admission.hint(hemlocktack_decide::ShedLevel::OPEN).limit);
     }
@@ -90,14 +92,17 @@
 fn busy(run: Duration, now: Instant) -> (Admission, Instant) {
     let mut admission = admission(now);
     for call_id in 0..u64::from(FILLED_SLOTS) {
-        assert_eq!(admission.offer(&offer(call_id, now), now), Verdict::Run);
+        assert_eq!(
+            admission.offer(&offer(call_id, now), now),
+            AdmissionDecision::Run
+        );
     }
     let later = now + run;
     for call_id in 0..8 {
-        admission.finish(call_id, Ended::Answered, run - OWN_WORK, later);
+        admission.finish(call_id, RunResult::Answered, run - OWN_WORK, later);
     }
     let mut call_id = 1_000;
-    while admission.offer(&offer(call_id, later), later) == Verdict::Run {
+    while admission.offer(&offer(call_id, later), later) == AdmissionDecision::Run {
         call_id += 1;
     }
     admission.cancel(call_id);
@@ -111,19 +116,25 @@
 fn who_came_back_too_late_does_not_take_the_place_of_a_fresh_request() {
     let run = Duration::from_millis(600);
     let (mut admission, now) = busy(run, Instant::now());
-    let returned = Offer {
+    let returned = OfferedCall {
         objective: Some(now + Duration::from_millis(500)),
         has_returned: true,
         ..offer(2_000, now)
     };
     let verdict = admission.offer(&returned, now);
-    assert!(matches!(verdict, Verdict::Refused(_)), "{verdict:?}");
-    let in_time = Offer {
+    assert!(
+        matches!(verdict, AdmissionDecision::Refused(_)),
+        "{verdict:?}"
+    );
+    let in_time = OfferedCall {
         objective: Some(now + Duration::from_millis(900)),
         ..returned
     };
-    assert_eq!(admission.offer(&in_time, now), Verdict::Queued);
-    assert_eq!(admission.offer(&offer(2_001, now), now), Verdict::Queued);
+    assert_eq!(admission.offer(&in_time, now), AdmissionDecision::Queued);
+    assert_eq!(
+        admission.offer(&offer(2_001, now), now),
+        AdmissionDecision::Queued
+    );
 }
 
 /// Whoever is refused is told a time at which it can still be answered in time:
@@ -135,7 +146,7 @@
     let slack = OBJECTIVE - run;
     let mut refused = 0;
     for call_id in 3_000..3_400 {
-        if let Verdict::Refused(refusal) = admission.offer(&offer(call_id, now), now) {
+        if let AdmissionDecision::Refused(refusal) = admission.offer(&offer(call_id, now), now) {
             let wait = refusal.retry_after.expect("a time to come back");
             assert!(wait <= slack, "{wait:?}");
             refused += 1;
@@ -159,7 +170,7 @@
         let mut running = Vec::new();
         loop {
             next_call += 1;
-            if admission.offer(&offer(next_call, now), now) != Verdict::Run {
+            if admission.offer(&offer(next_call, now), now) != AdmissionDecision::Run {
                 break;
             }
             running.push(next_call);
@@ -168,8 +179,8 @@
         now += run;
         for (number, call_id) in running.into_iter().enumerate() {
             let ended = match number % 10 {
-                0 => Ended::Answered,
-                _ => Ended::LackedRoomBelow,
+                0 => RunResult::Answered,
+                _ => RunResult::ChildLackedCapacity,
             };
             admission.finish(call_id, ended, run - OWN_WORK, now);
         }
@@ -195,14 +206,14 @@
         loop {
             next_call += 1;
             match admission.offer(&offer(next_call, now), now) {
-                Verdict::Run => running.push(next_call),
-                Verdict::Queued | Verdict::Refused(_) => break,
+                AdmissionDecision::Run => running.push(next_call),
+                AdmissionDecision::Queued | AdmissionDecision::Refused(_) => break,
             }
         }
         admission.cancel(next_call);
         now += run;
         for call_id in running {
-            admission.finish(call_id, Ended::Answered, run - OWN_WORK, now);
+            admission.finish(call_id, RunResult::Answered, run - OWN_WORK, now);
         }
         limits.push(admission.hint(hemlocktack_decide::ShedLevel::OPEN).limit);
     }
--- a/crates/hemlocktack-decide/tests/operators_limits.rs
+++ b/crates/hemlocktack-decide/tests/operators_limits.rs
@@ -4,13 +4,13 @@
 use std::time::{Duration, Instant};
 
 use hemlocktack_decide::{
-    Admission, AdmissionPolicy, Decision, EdgeBudget, Ended, Offer, RetryPolicy, RetryStanding,
-    Standing, Verdict,
+    Admission, AdmissionDecision, AdmissionPolicy, EdgeRetryBudget, OfferedCall, QuarantineStatus,
+    QueueDecision, RetryPolicy, RetryPriority, RunResult,
 };
 use hemlocktack_protocol::{CallId, Reason};
 
-fn offer(call_id: CallId, now: Instant) -> Offer {
-    Offer {
+fn offer(call_id: CallId, now: Instant) -> OfferedCall {
+    OfferedCall {
         call_id,
         class_rank: 0,
         deadline: now + Duration::from_secs(2),
@@ -30,17 +30,20 @@
     let now = Instant::now();
     let mut admission = Admission::new(AdmissionPolicy::default(), now);
     admission.announced(1, 8, false, now);
-    assert_eq!(admission.offer(&offer(1, now), now), Verdict::Run);
-    assert_eq!(admission.offer(&offer(2, now), now), Verdict::Queued);
+    assert_eq!(admission.offer(&offer(1, now), now), AdmissionDecision::Run);
+    assert_eq!(
+        admission.offer(&offer(2, now), now),
+        AdmissionDecision::Queued
+    );
     admission.set_queue_limit(0);
-    let Verdict::Refused(refusal) = admission.offer(&offer(3, now), now) else {
+    let AdmissionDecision::Refused(refusal) = admission.offer(&offer(3, now), now) else {
         panic!("queued beyond the limit");
     };
     assert_eq!(refusal.reason, Reason::QueueFull);
-    admission.finish(1, Ended::Answered, Duration::ZERO, now);
+    admission.finish(1, RunResult::Answered, Duration::ZERO, now);
     let mut decisions = Vec::new();
-    admission.take_ready(now, &mut decisions);
-    assert_eq!(decisions, [Decision::Run(2)]);
+    admission.take_decisions(now, &mut decisions);
+    assert_eq!(decisions, [QueueDecision::Run(2)]);
 }
 
 #[test]
@@ -50,14 +53,14 @@
         least_retries: 1,
         ..RetryPolicy::default()
     };
-    let edge = EdgeBudget::new(policy, now);
-    assert!(edge.take_one(RetryStanding::FIRST, now), "saved up");
+    let edge = EdgeRetryBudget::new(policy, now);
+    assert!(edge.try_take(RetryPriority::HIGHEST, now), "saved up");
     edge.set_share_per_mille(0);
-    (0..100).for_each(|_| edge.first_try(now));
-    assert!(!edge.take_one(RetryStanding::FIRST, now));
+    (0..100).for_each(|_| edge.record_first_attempt(now));
+    assert!(!edge.try_take(RetryPriority::HIGHEST, now));
     edge.set_share_per_mille(500);
-    (0..2).for_each(|_| edge.first_try(now));
-    assert!(edge.take_one(RetryStanding::FIRST, now));
+    (0..2).for_each(|_| edge.record_first_attempt(now));
+    assert!(edge.try_take(RetryPriority::HIGHEST, now));
 }
 
 /// A request is quarantined for the time that operators say, also if they say
@@ -71,7 +74,7 @@
         quarantine.crashed(Some(7), &[], now);
     }
     let later = now + Duration::from_secs(20);
-    assert_eq!(quarantine.standing(7, later), Standing::Refused);
+    assert_eq!(quarantine.status(7, later), QuarantineStatus::Quarantined);
     quarantine.set_limits(3, Duration::from_secs(10));
-    assert_ne!(quarantine.standing(7, later), Standing::Refused);
+    assert_ne!(quarantine.status(7, later), QuarantineStatus::Quarantined);
 }
--- a/crates/hemlocktack-decide/tests/placement.rs
+++ b/crates/hemlocktack-decide/tests/placement.rs
@@ -96,7 +96,7 @@
     let now = Instant::now();
     let peers = peers(&[(true, 0), (true, 30)], now);
     peers[0].sent(now);
-    let later = now + peers[0].patience();
+    let later = now + peers[0].silence_timeout();
     assert_eq!(shares(&peers, later), [0, 100]);
     assert!(!peers[0].is_lost(later));
     peers[0].set_suspected(true);
--- a/crates/hemlocktack-decide/tests/quarantine.rs
+++ b/crates/hemlocktack-decide/tests/quarantine.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant};
 
 use hemlocktack_decide::{
-    Admission, AdmissionPolicy, Decision, Ended, Offer, Quarantine, QuarantinePolicy, Standing,
-    Verdict,
+    Admission, AdmissionDecision, AdmissionPolicy, OfferedCall, Quarantine, QuarantinePolicy,
+    QuarantineStatus, QueueDecision, RunResult,
 };
 use hemlocktack_protocol::{Fingerprint, Reason};
 
@@ -17,8 +17,8 @@
     admission
 }
 
-fn offer(call_id: u64, fingerprint: Fingerprint, now: Instant) -> Offer {
-    Offer {
+fn offer(call_id: u64, fingerprint: Fingerprint, now: Instant) -> OfferedCall {
+    OfferedCall {
         call_id,
         class_rank: 0,
         deadline: now + Duration::from_secs(2),
@@ -31,14 +31,14 @@
     }
 }
 
-fn ready(admission: &mut Admission, now: Instant) -> Vec<Decision> {
+fn ready(admission: &mut Admission, now: Instant) -> Vec<QueueDecision> {
     let mut decisions = Vec::new();
-    admission.take_ready(now, &mut decisions);
+    admission.take_decisions(now, &mut decisions);
     decisions
 }
 
 fn tell(from: &mut Admission, to: &mut Admission, now: Instant) {
-    for suspect in from.quarantine().take_news() {
+    for suspect in from.quarantine().take_updates() {
         to.quarantine().learn(suspect, now);
     }
 }
@@ -53,41 +53,47 @@
     let innocents = [1, 2, 3];
     for fingerprint in innocents.into_iter().chain([GUILTY]) {
         let offer = offer(fingerprint, fingerprint, now);
-        assert_eq!(upstreams[0].offer(&offer, now), Verdict::Run);
+        assert_eq!(upstreams[0].offer(&offer, now), AdmissionDecision::Run);
     }
     let mut ended = Vec::new();
     upstreams[0].crashed(&mut ended, now);
     assert_eq!(ended.len(), 4);
     let [first, second, third] = &mut upstreams;
-    let news = first.quarantine().take_news();
+    let news = first.quarantine().take_updates();
     for suspect in news {
         second.quarantine().learn(suspect, now);
         third.quarantine().learn(suspect, now);
     }
 
     // All four are sent again, to the second upstream: one at a time.
-    assert_eq!(second.offer(&offer(10, 99, now), now), Verdict::Run);
+    assert_eq!(
+        second.offer(&offer(10, 99, now), now),
+        AdmissionDecision::Run
+    );
     for fingerprint in innocents.into_iter().chain([GUILTY]) {
         let offer = offer(fingerprint, fingerprint, now);
-        assert_eq!(second.offer(&offer, now), Verdict::Queued);
+        assert_eq!(second.offer(&offer, now), AdmissionDecision::Queued);
     }
     for innocent in innocents {
-        assert_eq!(ready(second, now), [Decision::Run(innocent)]);
-        second.finish(innocent, Ended::Answered, Duration::ZERO, now);
-        assert_eq!(second.quarantine().standing(innocent, now), Standing::Free);
+        assert_eq!(ready(second, now), [QueueDecision::Run(innocent)]);
+        second.finish(innocent, RunResult::Answered, Duration::ZERO, now);
+        assert_eq!(
+            second.quarantine().status(innocent, now),
+            QuarantineStatus::Clear
+        );
     }
-    assert_eq!(ready(second, now), [Decision::Run(GUILTY)]);
+    assert_eq!(ready(second, now), [QueueDecision::Run(GUILTY)]);
     second.crashed(&mut ended, now);
     tell(second, third, now);
 
-    let Verdict::Refused(refusal) = third.offer(&offer(20, GUILTY, now), now) else {
+    let AdmissionDecision::Refused(refusal) = third.offer(&offer(20, GUILTY, now), now) else {
         panic!("refused everywhere");
     };
     assert_eq!(refusal.reason, Reason::Quarantined);
     for innocent in innocents.into_iter().chain([99]) {
         assert_eq!(
             third.offer(&offer(innocent, innocent, now), now),
-            Verdict::Run
+            AdmissionDecision::Run
         );
     }
 }
@@ -99,15 +105,21 @@
     let now = Instant::now();
     let mut upstream = admission(now);
     upstream.quarantine().crashed(None, &[1, GUILTY], now);
-    assert_eq!(upstream.offer(&offer(1, 1, now), now), Verdict::Queued);
-    assert_eq!(upstream.offer(&offer(2, GUILTY, now), now), Verdict::Queued);
-    assert_eq!(ready(&mut upstream, now), [Decision::Run(1)]);
+    assert_eq!(
+        upstream.offer(&offer(1, 1, now), now),
+        AdmissionDecision::Queued
+    );
+    assert_eq!(
+        upstream.offer(&offer(2, GUILTY, now), now),
+        AdmissionDecision::Queued
+    );
+    assert_eq!(ready(&mut upstream, now), [QueueDecision::Run(1)]);
     upstream.quarantine().crashed(Some(GUILTY), &[], now);
-    upstream.finish(1, Ended::Answered, Duration::ZERO, now);
+    upstream.finish(1, RunResult::Answered, Duration::ZERO, now);
     let decisions = ready(&mut upstream, now);
     assert!(matches!(
         decisions[..],
-        [Decision::Refuse(2, refusal)] if refusal.reason == Reason::Quarantined
+        [QueueDecision::Refuse(2, refusal)] if refusal.reason == Reason::Quarantined
     ));
 }
 
@@ -121,14 +133,14 @@
     let mut quarantine = Quarantine::new(policy);
     quarantine.crashed(None, &[1, 2], now);
     quarantine.crashed(Some(1), &[1, 3], now);
-    assert_eq!(quarantine.standing(1, now), Standing::Refused);
-    assert_eq!(quarantine.standing(2, now), Standing::Suspected);
-    assert_eq!(quarantine.standing(3, now), Standing::Free);
+    assert_eq!(quarantine.status(1, now), QuarantineStatus::Quarantined);
+    assert_eq!(quarantine.status(2, now), QuarantineStatus::Suspected);
+    assert_eq!(quarantine.status(3, now), QuarantineStatus::Clear);
     now += policy.refused_for;
-    assert_eq!(quarantine.standing(1, now), Standing::Suspected);
+    assert_eq!(quarantine.status(1, now), QuarantineStatus::Suspected);
     quarantine.finished(1);
-    assert_eq!(quarantine.standing(1, now), Standing::Free);
-    assert_eq!(quarantine.standing(2, now), Standing::Free);
+    assert_eq!(quarantine.status(1, now), QuarantineStatus::Clear);
+    assert_eq!(quarantine.status(2, now), QuarantineStatus::Clear);
 }
 
 #[test]
--- a/crates/hemlocktack-decide/tests/retry.rs
+++ b/crates/hemlocktack-decide/tests/retry.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant};
 
 use hemlocktack_decide::{
-    Allowance, EdgeBudget, RetryBudget, RetryPolicy, RetryStanding, RetryVerdict, end_of_tries,
-    retry_verdict,
+    EdgeRetryBudget, RetryAllowance, RetryBudget, RetryDecision, RetryPolicy, RetryPriority,
+    combined_outcome, decide_retry,
 };
 use hemlocktack_protocol::{Reason, Refusal, Unfinished};
 use proptest::prelude::*;
@@ -14,30 +14,30 @@
 
 const DEPTH: u32 = 10;
 
-fn budget<'a>(allowance: &'a Allowance, edge: &'a EdgeBudget) -> RetryBudget<'a> {
+fn budget<'a>(allowance: &'a RetryAllowance, edge: &'a EdgeRetryBudget) -> RetryBudget<'a> {
     RetryBudget {
         allowance,
         edge,
-        standing: RetryStanding::FIRST,
+        priority: RetryPriority::HIGHEST,
     }
 }
 
 /// A call at `depth` whose calls fail at random; returns retries spent below.
-fn spend(allowance: &Allowance, depth: u32, fan_out: u32, rng: &mut SmallRng) -> u32 {
+fn spend(allowance: &RetryAllowance, depth: u32, fan_out: u32, rng: &mut SmallRng) -> u32 {
     let mut spent = 0;
     if depth == DEPTH {
         return spent;
     }
     // Parallel children: each share is given away before any comes back.
-    let given: Vec<_> = (0..fan_out).map(|_| allowance.give_to_child()).collect();
+    let given: Vec<_> = (0..fan_out).map(|_| allowance.grant_to_child()).collect();
     for given in given {
-        let child = Allowance::new(given);
+        let child = RetryAllowance::new(given);
         spent += spend(&child, depth + 1, fan_out, rng);
         let is_lost = rng.random_bool(0.1);
         if !is_lost {
-            allowance.give_back(child.left(), given);
+            allowance.return_unspent(child.left(), given);
         }
-        while rng.random_bool(0.5) && allowance.take_one() {
+        while rng.random_bool(0.5) && allowance.try_take() {
             spent += 1;
         }
     }
@@ -55,7 +55,7 @@
         fan_out in 1u32..3,
         seed: u64,
     ) {
-        let root = Allowance::new(granted);
+        let root = RetryAllowance::new(granted);
         let mut rng = SmallRng::seed_from_u64(seed);
         let spent = spend(&root, 0, fan_out, &mut rng);
         prop_assert!(spent + root.left() <= granted);
@@ -67,14 +67,14 @@
 /// second loss is told to the caller.
 #[test]
 fn a_lost_child_leaves_the_entry_its_own_retry() {
-    let allowance = Allowance::with_own(1, 1);
-    let edge = EdgeBudget::new(RetryPolicy::default(), Instant::now());
+    let allowance = RetryAllowance::with_entry_share(1, 1);
+    let edge = EdgeRetryBudget::new(RetryPolicy::default(), Instant::now());
     let verdicts = [(); 2].map(|()| {
         // Gone for good with the child that is lost.
-        allowance.give_to_child();
+        allowance.grant_to_child();
         let lost = Unfinished::Unknown(Reason::LinkLost);
         let (left, expected) = (Duration::from_secs(1), Duration::from_millis(100));
-        retry_verdict(
+        decide_retry(
             &lost,
             true,
             left,
@@ -83,7 +83,7 @@
             Instant::now(),
         )
     });
-    let expected = [RetryVerdict::Retry, RetryVerdict::AllowanceSpent];
+    let expected = [RetryDecision::Retry, RetryDecision::AllowanceSpent];
     assert_eq!(verdicts, expected);
 }
 
@@ -91,19 +91,19 @@
 /// the entry sends a request to no more nodes than its own retries allow.
 #[test]
 fn what_a_child_gives_back_is_not_spent_at_the_entry() {
-    let allowance = Allowance::with_own(1, 4);
-    let given = allowance.give_to_child();
-    allowance.give_back(given, given);
-    assert!(allowance.take_one());
-    assert!(!allowance.take_one());
-    assert_eq!((allowance.left(), allowance.left_here()), (4, 0));
+    let allowance = RetryAllowance::with_entry_share(1, 4);
+    let given = allowance.grant_to_child();
+    allowance.return_unspent(given, given);
+    assert!(allowance.try_take());
+    assert!(!allowance.try_take());
+    assert_eq!((allowance.left(), allowance.left_for_own_sends()), (4, 0));
 }
 
 #[test]
 fn a_child_cannot_give_back_more_than_it_got() {
-    let allowance = Allowance::new(3);
-    let given = allowance.give_to_child();
-    allowance.give_back(1000, given);
+    let allowance = RetryAllowance::new(3);
+    let given = allowance.grant_to_child();
+    allowance.return_unspent(1000, given);
     assert_eq!(allowance.left(), 3);
 }
 
@@ -127,14 +127,14 @@
         (Unfinished::Unknown(Reason::Timeout), true),
     ];
     let verdicts = cases.map(|(unfinished, idempotent)| {
-        let verdict = retry_verdict(
+        let verdict = decide_retry(
             &unfinished,
             idempotent,
             Duration::from_secs(1),
             Duration::from_millis(100),
             &budget(
-                &Allowance::new(1),
-                &EdgeBudget::new(RetryPolicy::default(), Instant::now()),
+                &RetryAllowance::new(1),
+                &EdgeRetryBudget::new(RetryPolicy::default(), Instant::now()),
             ),
             Instant::now(),
         );
@@ -149,20 +149,20 @@
 #[test]
 fn a_lookup_on_a_restarted_node_is_sent_again() {
     let verdict = |idempotent| {
-        retry_verdict(
+        decide_retry(
             &Unfinished::Unknown(Reason::HomeGone),
             idempotent,
             Duration::from_secs(1),
             Duration::from_millis(100),
             &budget(
-                &Allowance::new(1),
-                &EdgeBudget::new(RetryPolicy::default(), Instant::now()),
+                &RetryAllowance::new(1),
+                &EdgeRetryBudget::new(RetryPolicy::default(), Instant::now()),
             ),
             Instant::now(),
         )
     };
-    assert_eq!(verdict(true), RetryVerdict::Retry);
-    assert_eq!(verdict(false), RetryVerdict::PassUp);
+    assert_eq!(verdict(true), RetryDecision::Retry);
+    assert_eq!(verdict(false), RetryDecision::PassUp);
 }
 
 /// A service two hops below the entry turns every other call away, whatever its
@@ -176,16 +176,16 @@
         reason: Reason::UpstreamShed,
         retry_after: None,
     });
-    let edge = EdgeBudget::new(RetryPolicy::default(), Instant::now());
-    let entry = Allowance::with_own(1, FOR_CHAIN);
-    let hop = Allowance::new(entry.give_to_child());
-    let deep = Allowance::new(hop.give_to_child());
+    let edge = EdgeRetryBudget::new(RetryPolicy::default(), Instant::now());
+    let entry = RetryAllowance::with_entry_share(1, FOR_CHAIN);
+    let hop = RetryAllowance::new(entry.grant_to_child());
+    let deep = RetryAllowance::new(hop.grant_to_child());
     let mut answers = 0;
     for _ in 0..4 {
-        let given = deep.give_to_child();
-        deep.give_back(given, given);
+        let given = deep.grant_to_child();
+        deep.return_unspent(given, given);
         let (left, expected) = (Duration::from_secs(1), Duration::from_millis(22));
-        let verdict = retry_verdict(
+        let verdict = decide_retry(
             &turned_away,
             false,
             left,
@@ -193,20 +193,20 @@
             &budget(&deep, &edge),
             Instant::now(),
         );
-        answers += u32::from(verdict == RetryVerdict::Retry);
+        answers += u32::from(verdict == RetryDecision::Retry);
     }
     assert_eq!(answers, 4);
-    assert_eq!(entry.left_here(), 1);
+    assert_eq!(entry.left_for_own_sends(), 1);
 }
 
 #[test]
 fn a_spent_allowance_or_too_little_time_ends_the_retries() {
     let unfinished = Unfinished::Unknown(Reason::LinkLost);
-    let edge = EdgeBudget::new(RetryPolicy::default(), Instant::now());
+    let edge = EdgeRetryBudget::new(RetryPolicy::default(), Instant::now());
     let verdict = |left, allowance: u32| {
-        let allowance = Allowance::new(allowance);
+        let allowance = RetryAllowance::new(allowance);
         let expected = Duration::from_millis(100);
-        retry_verdict(
+        decide_retry(
             &unfinished,
             true,
             left,
@@ -217,10 +217,13 @@
     };
     assert_eq!(
         verdict(Duration::from_secs(1), 0),
-        RetryVerdict::AllowanceSpent
+        RetryDecision::AllowanceSpent
     );
-    assert_eq!(verdict(Duration::from_millis(99), 1), RetryVerdict::TooLate);
-    assert_eq!(verdict(Duration::from_secs(1), 1), RetryVerdict::Retry);
+    assert_eq!(
+        verdict(Duration::from_millis(99), 1),
+        RetryDecision::TooLate
+    );
+    assert_eq!(verdict(Duration::from_secs(1), 1), RetryDecision::Retry);
 }
 
 /// The first send dies with its upstream, the retry is refused. Told `not-run`,
@@ -232,8 +235,8 @@
         reason: Reason::NoUpstream,
         retry_after: None,
     });
-    assert_eq!(end_of_tries(Some(unknown), refused), unknown);
-    assert_eq!(end_of_tries(Some(refused), unknown), unknown);
-    assert_eq!(end_of_tries(Some(refused), refused), refused);
-    assert_eq!(end_of_tries(None, refused), refused);
+    assert_eq!(combined_outcome(Some(unknown), refused), unknown);
+    assert_eq!(combined_outcome(Some(refused), unknown), unknown);
+    assert_eq!(combined_outcome(Some(refused), refused), refused);
+    assert_eq!(combined_outcome(None, refused), refused);
 }
--- a/crates/hemlocktack-decide/tests/sends.rs
+++ b/crates/hemlocktack-decide/tests/sends.rs
@@ -1,6 +1,6 @@
 //! The sends of one call: how many upstreams may run it, and what ends them.
 
-use hemlocktack_decide::{CallSends, NextStep, RetryVerdict};
+use hemlocktack_decide::{CallSends, NextStep, RetryDecision};
 use hemlocktack_protocol::{Reason, Refusal, Unfinished};
 use proptest::prelude::*;
 
@@ -16,8 +16,8 @@
 }
 
 fn step(sends: &mut CallSends, node: usize, end: &Unfinished) -> NextStep {
-    sends.ended(node, end);
-    sends.next_step(end, true, || RetryVerdict::Retry)
+    sends.send_ended(node, end);
+    sends.next_step(end, true, || RetryDecision::Retry)
 }
 
 /// Sends a call to node after node, as long as another send follows.
@@ -27,7 +27,7 @@
     for (node, end) in ends.iter().enumerate() {
         let step = step(&mut sends, node, end);
         steps.push(step);
-        if !step.goes_on() {
+        if !step.sends_again() {
             break;
         }
     }
@@ -42,7 +42,7 @@
     let mut sends = CallSends::new(2);
     assert_eq!(step(&mut sends, 0, &LOST), NextStep::Retried);
     let never = || unreachable!("a retry is asked for");
-    sends.ended(1, &LOST);
+    sends.send_ended(1, &LOST);
     assert_eq!(
         sends.next_step(&LOST, true, never),
         NextStep::UpstreamsUsedUp
@@ -70,14 +70,14 @@
 #[test]
 fn each_verdict_has_a_step_of_its_own() {
     let cases = [
-        (RetryVerdict::PassUp, NextStep::PassedUp),
-        (RetryVerdict::TooLate, NextStep::TooLate),
-        (RetryVerdict::AllowanceSpent, NextStep::AllowanceUsedUp),
-        (RetryVerdict::EdgeSpent, NextStep::EdgeUsedUp),
+        (RetryDecision::PassUp, NextStep::PassedUp),
+        (RetryDecision::TooLate, NextStep::TooLate),
+        (RetryDecision::AllowanceSpent, NextStep::AllowanceUsedUp),
+        (RetryDecision::EdgeSpent, NextStep::EdgeUsedUp),
     ];
     for (verdict, step) in cases {
         let mut sends = CallSends::new(2);
-        sends.ended(0, &LOST);
+        sends.send_ended(0, &LOST);
         assert_eq!(sends.next_step(&LOST, true, || verdict), step);
     }
 }
@@ -89,7 +89,7 @@
     for end in [LOST, FULL] {
         let mut sends = CallSends::new(2);
         let never = || unreachable!("a retry is asked for");
-        sends.ended(0, &end);
+        sends.send_ended(0, &end);
         assert_eq!(sends.next_step(&end, false, never), NextStep::NoNodeLeft);
     }
 }
@@ -99,11 +99,11 @@
 #[test]
 fn only_upstreams_that_turned_it_away_may_get_it_again() {
     let mut sends = CallSends::new(2);
-    sends.ended(0, &TURNED_AWAY);
-    sends.ended(1, &TURNED_AWAY);
-    let may_get_it: Vec<usize> = (0..4).filter(|node| sends.may_get_it(*node)).collect();
-    assert_eq!(may_get_it, [0]);
-    assert_eq!(sends.same_again(), Some(1));
+    sends.send_ended(0, &TURNED_AWAY);
+    sends.send_ended(1, &TURNED_AWAY);
+    let may_send_to: Vec<usize> = (0..4).filter(|node| sends.may_send_to(*node)).collect();
+    assert_eq!(may_send_to, [0]);
+    assert_eq!(sends.resend_target(), Some(1));
 }
 
 proptest! {
@@ -121,8 +121,8 @@
         let mut runs = 0;
         for (first, end) in draws {
             let nodes = (0..6).map(|offset| (first + offset) % 6);
-            let mut allowed = nodes.filter(|node| sends.may_get_it(*node));
-            let Some(node) = allowed.next().or(sends.same_again()) else {
+            let mut allowed = nodes.filter(|node| sends.may_send_to(*node));
+            let Some(node) = allowed.next().or(sends.resend_target()) else {
                 break;
             };
             drop(allowed);
@@ -133,7 +133,7 @@
             runs += usize::from(end == LOST);
             prop_assert!(handed_to.len() <= upstreams_most);
             prop_assert!(runs <= upstreams_most);
-            if !step(&mut sends, node, &end).goes_on() {
+            if !step(&mut sends, node, &end).sends_again() {
                 break;
             }
         }
--- a/crates/hemlocktack-decide/tests/usual_patience.rs
+++ b/crates/hemlocktack-decide/tests/usual_patience.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hemlocktack_decide::UsualPatience;
+use hemlocktack_decide::CallerTimeoutEstimator;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
@@ -16,7 +16,7 @@
 #[test]
 fn the_patience_met_most_is_the_whole_one() {
     let mut random = SmallRng::seed_from_u64(5);
-    let mut patience = UsualPatience::default();
+    let mut patience = CallerTimeoutEstimator::default();
     let mut wrong = 0;
     for number in 0..5_000 {
         let rest = WHOLE - Duration::from_millis(random.random_range(200..1_500));
@@ -25,7 +25,7 @@
             1..9 => rest,
             _ => WHOLE,
         };
-        let waited = patience.waited(sent);
+        let waited = patience.estimate_waited(sent);
         let is_right = waited == WHOLE.saturating_sub(sent);
         wrong += u32::from(number >= 100 && !is_right);
     }
@@ -34,9 +34,9 @@
 
 #[test]
 fn nothing_is_held_against_the_first_requests() {
-    let mut patience = UsualPatience::default();
+    let mut patience = CallerTimeoutEstimator::default();
     for rest_ms in [6_000, 5_000, 4_000, 3_000] {
-        let waited = patience.waited(Duration::from_millis(rest_ms));
+        let waited = patience.estimate_waited(Duration::from_millis(rest_ms));
         assert_eq!(waited, Duration::ZERO);
     }
 }
@@ -45,13 +45,13 @@
 /// known its requests look like those of callers who come back, and no longer.
 #[test]
 fn another_usual_patience_is_learnt() {
-    let mut patience = UsualPatience::default();
+    let mut patience = CallerTimeoutEstimator::default();
     for _ in 0..5_000 {
-        patience.waited(WHOLE);
+        patience.estimate_waited(WHOLE);
     }
     let less = Duration::from_millis(4_000);
     for _ in 0..1_500 {
-        patience.waited(less);
+        patience.estimate_waited(less);
     }
-    assert_eq!(patience.waited(less), Duration::ZERO);
+    assert_eq!(patience.estimate_waited(less), Duration::ZERO);
 }
--- a/crates/hemlocktack-node/src/calls/admission_queue.rs
+++ b/crates/hemlocktack-node/src/calls/admission_queue.rs
@@ -9,7 +9,8 @@
 use std::time::{Duration, Instant};
 
 use hemlocktack_decide::{
-    Admission, AdmissionPolicy, CancelResult, Decision, Ended, Offer, ShedLevel, Standing, Verdict,
+    Admission, AdmissionDecision, AdmissionPolicy, CancelResult, OfferedCall, QuarantineStatus,
+    QueueDecision, RunResult, ShedLevel,
 };
 use hemlocktack_protocol::{CallId, Fingerprint, LoadHint, Reason, Refusal};
 use tokio::sync::{Notify, oneshot};
@@ -27,7 +28,7 @@
 struct QueueState {
     admission: Admission,
     waiting: HashMap<CallId, oneshot::Sender<Result<(), Refusal>>>,
-    decisions: Vec<Decision>,
+    decisions: Vec<QueueDecision>,
 }
 
 /// A slot of the upstream. Leaving it without [`Admitted::finish`] gives the
@@ -58,15 +59,15 @@
     /// `offer` gets the number under which this queue knows the call.
     pub(crate) async fn admit(
         &self,
-        offer: impl FnOnce(CallId) -> Offer,
+        offer: impl FnOnce(CallId) -> OfferedCall,
     ) -> Result<Admitted<'_>, Refusal> {
         let call_id = self.next_call_id.fetch_add(1, Ordering::Relaxed);
         let verdict = {
             let mut state = self.lock();
             match state.admission.offer(&offer(call_id), Instant::now()) {
-                Verdict::Run => None,
-                Verdict::Refused(refusal) => return Err(refusal),
-                Verdict::Queued => {
+                AdmissionDecision::Run => None,
+                AdmissionDecision::Refused(refusal) => return Err(refusal),
+                AdmissionDecision::Queued => {
                     let (decided, decision) = oneshot::channel();
                     state.waiting.insert(call_id, decided);
                     Some(decision)
@@ -104,12 +105,12 @@
     }
 
     /// How a request stands in the crash quarantine, as far as this node heard.
-    pub(crate) fn standing(&self, fingerprint: Fingerprint) -> Standing {
+    pub(crate) fn standing(&self, fingerprint: Fingerprint) -> QuarantineStatus {
         let mut state = self.lock();
         state
             .admission
             .quarantine()
-            .standing(fingerprint, Instant::now())
+            .status(fingerprint, Instant::now())
     }
 
     pub(crate) fn hint(&self, chain_level: ShedLevel) -> LoadHint {
@@ -137,11 +138,11 @@
 impl QueueState {
     fn carry_out(&mut self, now: Instant) {
         let mut decisions = std::mem::take(&mut self.decisions);
-        self.admission.take_ready(now, &mut decisions);
+        self.admission.take_decisions(now, &mut decisions);
         for decision in decisions.drain(..) {
             match decision {
-                Decision::Run(call_id) => self.run(call_id, now),
-                Decision::Refuse(call_id, refusal) => self.refuse(call_id, refusal),
+                QueueDecision::Run(call_id) => self.run(call_id, now),
+                QueueDecision::Refuse(call_id, refusal) => self.refuse(call_id, refusal),
             }
         }
         self.decisions = decisions;
@@ -153,7 +154,7 @@
         let taken = waiter.is_some_and(|waiter| waiter.send(Ok(())).is_ok());
         if !taken {
             self.admission
-                .finish(call_id, Ended::Cancelled, Duration::ZERO, now);
+                .finish(call_id, RunResult::Cancelled, Duration::ZERO, now);
         }
     }
 
@@ -166,18 +167,18 @@
 
 impl Admitted<'_> {
     /// Gives the slot back; `time_below` is the time spent on deeper calls.
-    pub(crate) fn finish(mut self, ended: Ended, time_below: Duration) {
+    pub(crate) fn finish(mut self, ended: RunResult, time_below: Duration) {
         self.finished = true;
         self.give_back(ended, time_below);
     }
 
-    fn give_back(&self, ended: Ended, time_below: Duration) {
+    fn give_back(&self, ended: RunResult, time_below: Duration) {
         let now = Instant::now();
         let mut state = self.admission_queue.lock();
         state.waiting.remove(&self.call_id);
         match state.admission.cancel(self.call_id) {
             CancelResult::Running => state.admission.finish(self.call_id, ended, time_below, now),
-            CancelResult::Unqueued | CancelResult::NotHere => {}
+            CancelResult::Dequeued | CancelResult::UnknownCall => {}
         }
         state.carry_out(now);
     }
@@ -186,7 +187,7 @@
 impl Drop for Admitted<'_> {
     fn drop(&mut self) {
         if !self.finished {
-            self.give_back(Ended::Cancelled, Duration::ZERO);
+            self.give_back(RunResult::Cancelled, Duration::ZERO);
         }
     }
 }
--- a/crates/hemlocktack-node/src/calls/classify.rs
+++ b/crates/hemlocktack-node/src/calls/classify.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use hemlocktack_config::{Document, RequestRule, Service};
-use hemlocktack_decide::{Allowance, WorkKind};
+use hemlocktack_decide::{RetryAllowance, WorkKind};
 use hemlocktack_protocol::{Call, ClassRank, Fingerprint, Generation, Reason, stable_hash};
 
 use super::{RunningCall, SendRecord};
@@ -25,7 +25,7 @@
     /// Until when an answer to the root request is worth most to its caller.
     pub(crate) objective: Option<Instant>,
     /// Retries of this request; shared with the calls beside it in a chain.
-    pub(crate) allowance: Arc<Allowance>,
+    pub(crate) allowance: Arc<RetryAllowance>,
     /// Upstreams that the call may be handed to, where its route says so; those
     /// whose nodes refuse it before do not count. Else the allowance alone bounds
     /// them.
@@ -64,7 +64,10 @@
     let patience = patience(&in_force.document, &request, parent.as_deref(), now)?;
     let allowance = match &parent {
         Some(parent) => parent.allowance.clone(),
-        None => Arc::new(Allowance::new(root_allowance(&in_force.document, &request))),
+        None => Arc::new(RetryAllowance::new(root_allowance(
+            &in_force.document,
+            &request,
+        ))),
     };
     let call = Call {
         service: request.service.to_string(),
--- a/crates/hemlocktack-node/src/calls/context.rs
+++ b/crates/hemlocktack-node/src/calls/context.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use hemlocktack_decide::{Allowance, WorkKind};
+use hemlocktack_decide::{RetryAllowance, WorkKind};
 use hemlocktack_fleet::tickets::{ChildCalls, Nonce};
 use hemlocktack_protocol::{Answer, Call, ClassRank, Reason, RootRequestId};
 use hemlocktack_telemetry::TraceContext;
@@ -28,7 +28,7 @@
     /// It may have run before, and so may its deeper calls.
     pub(crate) is_repeat: bool,
     /// Retries that came with the call; its deeper calls draw on them.
-    pub(crate) allowance: Arc<Allowance>,
+    pub(crate) allowance: Arc<RetryAllowance>,
     /// Tickets of its deeper calls.
     pub(crate) children: Mutex<ChildCalls>,
     /// Where the upstream's work stands in its trace, for deeper calls that
@@ -64,7 +64,7 @@
             objective: objective_of(call),
             depth: call.depth,
             is_repeat: call.is_repeat,
-            allowance: Arc::new(Allowance::new(call.retries_given)),
+            allowance: Arc::new(RetryAllowance::new(call.retries_given)),
             children: Mutex::new(
                 nonce.map_or_else(ChildCalls::of_idempotent, ChildCalls::of_ticketed),
             ),
--- a/crates/hemlocktack-node/src/calls/deliver.rs
+++ b/crates/hemlocktack-node/src/calls/deliver.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use hemlocktack_decide::Allowance;
+use hemlocktack_decide::RetryAllowance;
 use hemlocktack_protocol::{Answer, Call, CallPurpose, Reason};
 use hemlocktack_telemetry::SpanName;
 use tokio_util::sync::CancellationToken;
@@ -34,9 +34,9 @@
     peer: &PeerEntry,
     mut call: Call,
     deadline: Instant,
-    allowance: &Allowance,
+    allowance: &RetryAllowance,
 ) -> Delivery {
-    let given = allowance.give_to_child();
+    let given = allowance.grant_to_child();
     call.retries_given = given;
     call.time_left_us = time_left_us(deadline);
     let delivery = match node.locate(&peer.member) {
@@ -47,7 +47,7 @@
         Some(NodeLocation::Remote(peer)) => send_over_link(node, &peer, call, deadline).await,
         None => never_arrived(call.purpose(), given, Reason::LinkLost),
     };
-    allowance.give_back(delivery.answer.retries_unspent, given);
+    allowance.return_unspent(delivery.answer.retries_unspent, given);
     delivery
 }
 
--- a/crates/hemlocktack-node/src/calls/home.rs
+++ b/crates/hemlocktack-node/src/calls/home.rs
@@ -166,7 +166,7 @@
     }
     let mut call = call.clone();
     call.purpose = CallPurpose::Delegated.into();
-    let allowance = hemlocktack_decide::Allowance::new(call.retries_given);
+    let allowance = hemlocktack_decide::RetryAllowance::new(call.retries_given);
     let open_send = OpenSend::begin(peer);
     let Delivery { answer, .. } = send_with_allowance(node, peer, call, deadline, &allowance).await;
     open_send.end(&answer);
--- a/crates/hemlocktack-node/src/calls/place.rs
+++ b/crates/hemlocktack-node/src/calls/place.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant};
 
 use hemlocktack_decide::{
-    CallSends, NextStep, PeerLoad, PlacementPolicy, RetryBudget, RetryStanding, RetryVerdict,
-    Standing, place, retry_verdict, within_objective,
+    CallSends, NextStep, PeerLoad, PlacementPolicy, QuarantineStatus, RetryBudget, RetryDecision,
+    RetryPriority, cap_to_objective, decide_retry, place,
 };
 use hemlocktack_protocol::{Answer, Call, CallPurpose, Reason, Refusal, Unfinished};
 use hemlocktack_telemetry::{Event, log_event};
@@ -36,7 +36,7 @@
         let Some(index) = tries.next(&view, classified) else {
             return tries.told_or_no_upstream();
         };
-        if let Some(pause) = tries.sends.pause() {
+        if let Some(pause) = tries.sends.resend_delay() {
             tokio::time::sleep(pause).await;
         }
         let is_repeat = tries.sends.is_repeat();
@@ -52,7 +52,7 @@
         node.counters.record_send_end(next);
         let peer = &view.peers[index];
         log_unfinished(node, classified, peer, &unfinished, next, &tries.sends);
-        if !next.goes_on() {
+        if !next.sends_again() {
             return tries.told_or_no_upstream();
         }
     }
@@ -64,8 +64,8 @@
 fn count_try(view: &ServiceView, call: &Call) {
     let now = Instant::now();
     match call.is_repeat {
-        true => view.edge.repeated_below(now),
-        false => view.edge.first_try(now),
+        true => view.edge.record_repeated_call(now),
+        false => view.edge.record_first_attempt(now),
     }
 }
 
@@ -93,14 +93,14 @@
         node = %peer.identity.node_id,
         outcome,
         reason,
-        next = if next.goes_on() { "another-node" } else { "the-caller" },
+        next = if next.sends_again() { "another-node" } else { "the-caller" },
         because,
         is_deeper = classified.call.work_spent_us > 0,
         upstreams_reached = sends.upstreams_reached(),
         upstreams_most = classified.upstreams_most,
         generation = classified.generation,
         time_left_ms = time_left.as_millis() as u64,
-        retries_left = classified.allowance.left_here(),
+        retries_left = classified.allowance.left_for_own_sends(),
         left_out
     );
 }
@@ -112,7 +112,7 @@
     classified: &Classified,
 ) -> Result<Arc<ServiceView>, Refusal> {
     let call = &classified.call;
-    if node.admission_queue.standing(call.fingerprint) == Standing::Refused {
+    if node.admission_queue.standing(call.fingerprint) == QuarantineStatus::Quarantined {
         return Err(Refusal {
             reason: Reason::Quarantined,
             retry_after: None,
@@ -139,7 +139,7 @@
     let wait = classified.objective.map_or(wait, |objective| {
         // How long it would run is known where it was sent; half is usual.
         let left = objective.saturating_duration_since(Instant::now());
-        within_objective(wait, left, left / 2)
+        cap_to_objective(wait, left, left / 2)
     });
     Err(Refusal {
         reason: Reason::Shed,
@@ -211,7 +211,7 @@
 /// call stays away, so the retry elsewhere is within the request's allowance.
 async fn silence(peer: &PeerLoad) {
     loop {
-        tokio::time::sleep(peer.patience()).await;
+        tokio::time::sleep(peer.silence_timeout()).await;
         if peer.is_lost(Instant::now()) {
             return;
         }
@@ -232,20 +232,20 @@
     classified: &Classified,
     view: &ServiceView,
     expected: Duration,
-) -> RetryVerdict {
+) -> RetryDecision {
     let now = Instant::now();
     let time_left = classified.deadline.saturating_duration_since(now);
     let budget = RetryBudget {
         allowance: &classified.allowance,
         edge: &view.edge,
-        standing: RetryStanding::new(
+        priority: RetryPriority::new(
             classified.class_rank,
             node.class_count(),
             classified.call.root_request_id,
             classified.parent.is_none(),
         ),
     };
-    retry_verdict(
+    decide_retry(
         unfinished,
         classified.idempotent,
         time_left,
--- a/crates/hemlocktack-node/src/calls/run.rs
+++ b/crates/hemlocktack-node/src/calls/run.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use hemlocktack_decide::{Ended, Offer, WorkKind};
+use hemlocktack_decide::{OfferedCall, RunResult, WorkKind};
 use hemlocktack_fleet::tickets::Nonce;
 use hemlocktack_protocol::{Answer, Call, ClassRank, Outcome, Reason};
 use hemlocktack_telemetry::{Event, SpanName, log_event};
@@ -44,7 +44,7 @@
     let kind = work_kind_of(node, &call);
     let arrived = Instant::now();
     let queue = CallSpan::begin_leaf(node, SpanName::Queue, &call);
-    let admitted = node.admission_queue.admit(|call_id| Offer {
+    let admitted = node.admission_queue.admit(|call_id| OfferedCall {
         call_id,
         class_rank,
         deadline,
@@ -156,7 +156,7 @@
     let answer = Answer {
         retries_unspent: running.allowance.left(),
         work_spent_us: running.work_spent_us(Instant::now()),
-        lacked_room_below: ended == Ended::LackedRoomBelow,
+        lacked_room_below: ended == RunResult::ChildLackedCapacity,
         ..into_answer(end)
     };
     (answer, running.time_below())
@@ -223,19 +223,19 @@
     matches!(connected, Ok(Ok(_)))
 }
 
-fn ended(end: &UpstreamEnd, running: &RunningCall) -> Ended {
+fn ended(end: &UpstreamEnd, running: &RunningCall) -> RunResult {
     match end {
         UpstreamEnd::Answered { status, .. }
             if *status >= SERVER_FAILURES_FROM && running.lacked_room() =>
         {
-            Ended::LackedRoomBelow
+            RunResult::ChildLackedCapacity
         }
         UpstreamEnd::Answered { status, .. } if *status >= SERVER_FAILURES_FROM => {
-            Ended::AnsweredWithFailure
+            RunResult::AnsweredWithFailure
         }
-        UpstreamEnd::Answered { .. } => Ended::Answered,
-        UpstreamEnd::NotRun(Reason::UpstreamShed) => Ended::ShedByUpstream,
-        UpstreamEnd::NotRun(_) | UpstreamEnd::Unknown(_) => Ended::Failed,
+        UpstreamEnd::Answered { .. } => RunResult::Answered,
+        UpstreamEnd::NotRun(Reason::UpstreamShed) => RunResult::ShedByUpstream,
+        UpstreamEnd::NotRun(_) | UpstreamEnd::Unknown(_) => RunResult::Failed,
     }
 }
 
--- a/crates/hemlocktack-node/src/calls/service_directory.rs
+++ b/crates/hemlocktack-node/src/calls/service_directory.rs
@@ -6,8 +6,8 @@
 
 use arc_swap::ArcSwap;
 use hemlocktack_decide::{
-    EdgeBudget, EdgeBudgets, EntryShedPolicy, EntryShedder, FleetRetries, NodePlace, PeerLoad,
-    ShedLevel, UsualPatience, WorkKind,
+    CallerTimeoutEstimator, EdgeRetryBudget, EdgeRetryBudgets, EntryShedPolicy, EntryShedder,
+    FleetRetryLimits, NodePosition, PeerLoad, ShedLevel, WorkKind,
 };
 use hemlocktack_fleet::NodeIncarnation;
 use hemlocktack_protocol::{
@@ -34,7 +34,7 @@
 /// One service as seen from this node.
 pub(crate) struct ServiceView {
     pub(crate) peers: Vec<PeerEntry>,
-    pub(crate) edge: Arc<EdgeBudget>,
+    pub(crate) edge: Arc<EdgeRetryBudget>,
     shedder: Arc<Mutex<EntryShedder>>,
 }
 
@@ -42,11 +42,11 @@
 pub(crate) struct ServiceDirectory {
     own_data_centre: DataCentre,
     services: ArcSwap<HashMap<ServiceName, Arc<ServiceView>>>,
-    edges: Mutex<EdgeBudgets>,
+    edges: Mutex<EdgeRetryBudgets>,
     /// Which service a kind of work belongs to, for kinds seen on this node.
     service_of_kind: Mutex<HashMap<WorkKind, ServiceName>>,
     /// Patience of callers by route.
-    patiences: Mutex<HashMap<u64, UsualPatience>>,
+    patiences: Mutex<HashMap<u64, CallerTimeoutEstimator>>,
 }
 
 impl ServiceDirectory {
@@ -54,7 +54,10 @@
         Self {
             own_data_centre,
             services: ArcSwap::default(),
-            edges: Mutex::new(EdgeBudgets::new(FleetRetries::default(), NodePlace::ALONE)),
+            edges: Mutex::new(EdgeRetryBudgets::new(
+                FleetRetryLimits::default(),
+                NodePosition::ONLY_NODE,
+            )),
             service_of_kind: Mutex::default(),
             patiences: Mutex::default(),
         }
@@ -66,8 +69,8 @@
 
     /// Takes in a new view of the fleet; what replies said of a node is kept
     /// as long as it is the same start of it.
-    pub(crate) fn update(&self, members: &[Member], place: NodePlace) {
-        self.edges().set_place(place);
+    pub(crate) fn update(&self, members: &[Member], place: NodePosition) {
+        self.edges().set_position(place);
         let before = self.services.load_full();
         let mut by_service: HashMap<ServiceName, Vec<&Member>> = HashMap::new();
         for member in members.iter().filter(|member| is_live(member)) {
@@ -92,7 +95,7 @@
         &self,
         members: &[&Member],
         known: Option<&ServiceView>,
-        edge: Arc<EdgeBudget>,
+        edge: Arc<EdgeRetryBudget>,
     ) -> ServiceView {
         let some_are_sure = members
             .iter()
@@ -129,11 +132,11 @@
     }
 
     /// Takes in the retries that operators allow, for every service.
-    pub(crate) fn set_retries(&self, allowed: FleetRetries) {
-        self.edges().set_allowed(allowed);
+    pub(crate) fn set_retries(&self, allowed: FleetRetryLimits) {
+        self.edges().set_limits(allowed);
     }
 
-    fn edges(&self) -> MutexGuard<'_, EdgeBudgets> {
+    fn edges(&self) -> MutexGuard<'_, EdgeRetryBudgets> {
         self.edges.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -152,7 +155,10 @@
         if patiences.len() >= PATIENCES_LIMIT && !patiences.contains_key(&route_id) {
             patiences.clear();
         }
-        patiences.entry(route_id).or_default().waited(time_left)
+        patiences
+            .entry(route_id)
+            .or_default()
+            .estimate_waited(time_left)
     }
 
     /// Remembers which service a kind of work belongs to.
--- a/crates/hemlocktack-node/src/calls/tries.rs
+++ b/crates/hemlocktack-node/src/calls/tries.rs
@@ -1,6 +1,6 @@
 //! The sends of one call so far, and what its caller is told in the end.
 
-use hemlocktack_decide::{CallSends, end_of_tries};
+use hemlocktack_decide::{CallSends, combined_outcome};
 use hemlocktack_protocol::{Answer, Reason, Unfinished};
 
 use super::Classified;
@@ -31,16 +31,16 @@
     /// The node that the call goes to next, on another upstream than the last
     /// one where that is allowed.
     pub(super) fn next(&self, view: &ServiceView, classified: &Classified) -> Option<usize> {
-        let may_get_it = |node| self.sends.may_get_it(node);
+        let may_get_it = |node| self.sends.may_send_to(node);
         let chosen = choose_among(view, may_get_it, classified.objective);
-        chosen.or_else(|| self.sends.same_again())
+        chosen.or_else(|| self.sends.resend_target())
     }
 
     /// Takes in the end of a send to this node.
     pub(super) fn ended(&mut self, node: usize, unfinished: Unfinished, answer: Answer) {
-        self.sends.ended(node, &unfinished);
+        self.sends.send_ended(node, &unfinished);
         let earlier = self.told.as_ref().map(|told| told.unfinished);
-        if earlier.is_none_or(|earlier| end_of_tries(Some(earlier), unfinished) != earlier) {
+        if earlier.is_none_or(|earlier| combined_outcome(Some(earlier), unfinished) != earlier) {
             self.told = Some(Told { unfinished, answer });
         }
     }
--- a/crates/hemlocktack-node/src/gateway/classify.rs
+++ b/crates/hemlocktack-node/src/gateway/classify.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use hemlocktack_config::{Document, Route};
-use hemlocktack_decide::Allowance;
+use hemlocktack_decide::RetryAllowance;
 use hemlocktack_interface::Entered;
 use hemlocktack_protocol::{Call, ClassRank, Generation, Reason, stable_hash};
 
@@ -114,17 +114,17 @@
 const WORK_UNKNOWN_US: u64 = 1;
 
 /// Each retry of its own may reach one more upstream.
-fn allowance_of_root(attempts: u32) -> Allowance {
+fn allowance_of_root(attempts: u32) -> RetryAllowance {
     let retries = attempts.saturating_sub(1);
-    Allowance::with_own(retries, retries * CHAIN_RETRIES_A_RETRY)
+    RetryAllowance::with_entry_share(retries, retries * CHAIN_RETRIES_A_RETRY)
 }
 
 /// Failure: a node starts again while its upstream works on. Symptom: each deeper
 /// call is granted what a root is, and one request is repeated beyond its allowance
 /// over its chain. Its caller's connection went with the node, so no answer is lost
 /// to anybody if its calls are sent once.
-fn allowance_of_orphan() -> Allowance {
-    Allowance::new(0)
+fn allowance_of_orphan() -> RetryAllowance {
+    RetryAllowance::new(0)
 }
 
 impl Routed {
--- a/crates/hemlocktack-node/src/links/connection.rs
+++ b/crates/hemlocktack-node/src/links/connection.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use bytes::{Buf, BytesMut};
-use hemlocktack_decide::{LinkStep, LinkWatch, LinkWatchPolicy};
+use hemlocktack_decide::{LinkAction, LinkMonitor, LinkMonitorPolicy};
 use hemlocktack_protocol::{EchoRequest, Frame, Incarnation, frame};
 use hemlocktack_telemetry::{Event, log_event};
 use tokio::net::tcp::OwnedWriteHalf;
@@ -152,23 +152,23 @@
     }
 
     /// Ends when the far end, or the way to it, counts as lost for a call that
-    /// was sent at `sent`; see [`LinkWatch`].
+    /// was sent at `sent`; see [`LinkMonitor`].
     pub(crate) async fn lost(&self, sent: Instant) {
         if !self.shared.answers_echo {
             return std::future::pending().await;
         }
-        let mut watch = LinkWatch::new(LinkWatchPolicy::default());
+        let mut watch = LinkMonitor::new(LinkMonitorPolicy::default());
         loop {
             let heard = self.shared.heard.last().max(sent);
-            let until = match watch.look(heard, Instant::now()) {
-                LinkStep::Lost => {
+            let until = match watch.check(heard, Instant::now()) {
+                LinkAction::Lost => {
                     let peer_incarnation = self.peer_incarnation;
                     let silent_ms = heard.elapsed().as_millis() as u64;
                     log_event!(Event::LinkSilent, peer_incarnation, silent_ms);
                     return;
                 }
-                LinkStep::Wait(until) => until,
-                LinkStep::Ask(until) => {
+                LinkAction::Wait(until) => until,
+                LinkAction::RequestEcho(until) => {
                     self.send_if_room(frame::Body::EchoRequest(EchoRequest {}));
                     until
                 }
--- a/crates/hemlocktack-node/src/node/configuration.rs
+++ b/crates/hemlocktack-node/src/node/configuration.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use hemlocktack_config::{ClientLimits, Document, Service};
-use hemlocktack_decide::FleetRetries;
+use hemlocktack_decide::FleetRetryLimits;
 use hemlocktack_protocol::{ConfigurationDocument, Generation};
 use hemlocktack_telemetry::{Event, log_event};
 use tokio::sync::mpsc;
@@ -108,14 +108,14 @@
     }
 
     /// Retries of a service's calls that all nodes' edges together keep to.
-    fn fleet_retries(&self, configured_percent: u32) -> FleetRetries {
+    fn fleet_retries(&self, configured_percent: u32) -> FleetRetryLimits {
         let kept_to = |allowed: u32| allowed.saturating_mul(KEPT_TO_PERCENT) / 100;
         let settings = self.adjustable();
         let share_per_mille = settings.retry_share_per_mille.map(kept_to);
-        let beside_share = settings.retries_beside_share.map(kept_to);
-        FleetRetries {
+        let min_retries = settings.retries_beside_share.map(kept_to);
+        FleetRetryLimits {
             share_per_mille: share_per_mille.unwrap_or(configured_percent * MILLE_A_PERCENT),
-            beside_share: beside_share.unwrap_or(FleetRetries::default().beside_share),
+            min_retries: min_retries.unwrap_or(FleetRetryLimits::default().min_retries),
         }
     }
 
--- a/crates/hemlocktack-node/src/node/members.rs
+++ b/crates/hemlocktack-node/src/node/members.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, MutexGuard, PoisonError};
 
-use hemlocktack_decide::NodePlace;
+use hemlocktack_decide::NodePosition;
 use hemlocktack_fleet::NodeIncarnation;
 use hemlocktack_fleet::handover::Receiving;
 use hemlocktack_protocol::{Member, NodeState, Succession};
@@ -44,7 +44,7 @@
 
     /// This node's number among those that may make retries, by their names. One
     /// that may be down still counts: it may only be out of reach from here.
-    fn place_among(&self, members: &[Member]) -> NodePlace {
+    fn place_among(&self, members: &[Member]) -> NodePosition {
         let has_left = |member: &&Member| member.state() == NodeState::Left;
         let others = members.iter().filter(|member| !has_left(member));
         let names = others.map(|member| member.node_id.as_str());
@@ -54,7 +54,7 @@
         let before = others
             .iter()
             .filter(|name| **name < &*self.identity.node_id);
-        NodePlace {
+        NodePosition {
             index: before.count(),
             count: others.len() + 1,
         }
--- a/crates/hemlocktack-node/src/node/policies.rs
+++ b/crates/hemlocktack-node/src/node/policies.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hemlocktack_decide::{AdmissionPolicy, ObjectivePolicy};
+use hemlocktack_decide::{AdmissionPolicy, ObjectiveLimitPolicy};
 use hemlocktack_fleet::drain::{DrainSettings, UpstreamSettings};
 
 use crate::handover;
@@ -54,7 +54,7 @@
     AdmissionPolicy {
         objective: match settings.interface {
             InterfaceName::Own => None,
-            InterfaceName::Cooperative => Some(ObjectivePolicy::default()),
+            InterfaceName::Cooperative => Some(ObjectiveLimitPolicy::default()),
         },
         ..AdmissionPolicy::default()
     }
--- a/crates/hemlocktack-node/src/node/upstream.rs
+++ b/crates/hemlocktack-node/src/node/upstream.rs
@@ -66,8 +66,9 @@
         let announcement = announcement.as_deref();
         let slots = announcement.map_or(0, |announcement| announcement.slots);
         let connections = announcement.map_or(0, |announcement| announcement.connections);
-        self.admission_queue
-            .with_admission(|admission| admission.follow(life.upstream(), slots, connections, now));
+        self.admission_queue.with_admission(|admission| {
+            admission.sync_upstream_state(life.upstream(), slots, connections, now)
+        });
     }
 
     pub(crate) fn announcement(&self) -> Option<Announcement> {
@@ -83,7 +84,7 @@
         self.chain_edges
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .answered(kind, deeper);
+            .record_answer(kind, deeper);
     }
 
     /// Strictest shed level among the services that calls of `kind` go on to.
--- a/crates/hemlocktack-node/src/peers/gossip.rs
+++ b/crates/hemlocktack-node/src/peers/gossip.rs
@@ -157,7 +157,7 @@
         let news = self
             .node
             .admission_queue
-            .with_admission(|admission| admission.quarantine().take_news());
+            .with_admission(|admission| admission.quarantine().take_updates());
         if news.is_empty() {
             return;
         }
