--- a/crates/hemlocktack-fleet/examples/fleet_runs/actions.rs
+++ b/crates/hemlocktack-fleet/examples/fleet_runs/actions.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 
 use hemlocktack_fleet::configuration::ConfigurationAction;
-use hemlocktack_fleet::drain::LifeAction;
-use hemlocktack_fleet::membership::Action;
+use hemlocktack_fleet::drain::LifecycleAction;
+use hemlocktack_fleet::membership::MembershipAction;
 use hemlocktack_protocol::{Gossip, NodeState};
 use prost::Message;
 
@@ -12,21 +12,26 @@
 use crate::world::{Event, World};
 
 impl World {
-    pub(crate) fn act(&mut self, number: usize, process: &mut Process, actions: Vec<Action>) {
+    pub(crate) fn act(
+        &mut self,
+        number: usize,
+        process: &mut Process,
+        actions: Vec<MembershipAction>,
+    ) {
         for action in actions {
             match action {
-                Action::Send { to, gossip } => self.send(number, to, gossip),
-                Action::GenerationHeard {
+                MembershipAction::Send { to, gossip } => self.send(number, to, gossip),
+                MembershipAction::NewerGenerationSeen {
                     node_id,
                     generation,
                 } => {
-                    process.in_force.hear(&node_id, generation);
+                    process.in_force.peer_announced(&node_id, generation);
                 }
-                Action::Superseded { .. } => {
+                MembershipAction::Superseded { .. } => {
                     let actions = process.life.drain(self.instant());
                     self.live(number, process, &actions);
                 }
-                Action::MembersChanged | Action::SuspectsHeard { .. } => {}
+                MembershipAction::MembersChanged | MembershipAction::SuspectsReceived { .. } => {}
             }
         }
     }
@@ -62,7 +67,7 @@
     ) -> Result<(), String> {
         for action in actions {
             match action {
-                ConfigurationAction::AskPlatform { above, wait } => {
+                ConfigurationAction::ReadPlatform { above, wait } => {
                     self.ask_platform(number, above, wait);
                 }
                 ConfigurationAction::Pull { node_id, above } => {
@@ -83,7 +88,7 @@
                     self.note(format!("{number} caught up"));
                     self.checks
                         .caught_up(number, process, &self.slots[number])?;
-                    let actions = process.life.caught_up();
+                    let actions = process.life.configuration_caught_up();
                     self.live(number, process, &actions);
                 }
             }
@@ -95,25 +100,25 @@
         &mut self,
         number: usize,
         process: &mut Process,
-        actions: &[LifeAction],
+        actions: &[LifecycleAction],
     ) -> bool {
         for action in actions {
             match action {
-                LifeAction::Publish(publication) => {
+                LifecycleAction::Publish(publication) => {
                     self.note(format!("{number} publishes {:?}", publication.state));
                     let actions = process.membership.update_own(*publication, &mut self.rng);
                     self.act(number, process, actions);
                 }
-                LifeAction::HandOver => {
+                LifecycleAction::HandOver => {
                     let actions = process.life.handed_over();
                     return self.live(number, process, &actions);
                 }
-                LifeAction::ReportOverrun { .. } => {}
-                LifeAction::Leave => return true,
+                LifecycleAction::ReportOverrun { .. } => {}
+                LifecycleAction::Leave => return true,
             }
         }
         let is_leaving =
-            process.life.state() != NodeState::Starting && !process.life.takes_new_work();
+            process.life.state() != NodeState::Starting && !process.life.accepts_new_calls();
         if !is_leaving {
             process.leaving_since = None;
         } else if process.leaving_since.is_none() {
--- a/crates/hemlocktack-fleet/examples/fleet_runs/checks.rs
+++ b/crates/hemlocktack-fleet/examples/fleet_runs/checks.rs
@@ -217,7 +217,7 @@
             let Some(incarnation) = self.gone_or_going(slot) else {
                 continue;
             };
-            let takes = |viewer: &usize| self.takes_new_work(*viewer, number, incarnation);
+            let takes = |viewer: &usize| self.accepts_new_calls(*viewer, number, incarnation);
             let somebody_knows = calm.iter().any(|viewer| takes(viewer) == Some(false));
             let is_bound = |viewer: &&usize| somebody_knows || long_calm.contains(viewer);
             let wrong = calm
@@ -233,10 +233,10 @@
 
     /// Whether a viewer would place calls on that start of a node; `None` if
     /// it does not know it.
-    fn takes_new_work(&self, viewer: usize, number: usize, of: Incarnation) -> Option<bool> {
+    fn accepts_new_calls(&self, viewer: usize, number: usize, of: Incarnation) -> Option<bool> {
         let process = self.slots[viewer].process.as_ref()?;
         let peer = process.membership.peer(&self.slots[number].node_id)?;
-        (peer.member.incarnation == of).then(|| peer.takes_new_work())
+        (peer.member.incarnation == of).then(|| peer.accepts_new_calls())
     }
 
     /// Incarnation of a node that has been leaving for longer than the limit,
--- a/crates/hemlocktack-fleet/examples/fleet_runs/node.rs
+++ b/crates/hemlocktack-fleet/examples/fleet_runs/node.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use hemlocktack_fleet::configuration::{InForce, PeersView, watches_platform};
-use hemlocktack_fleet::drain::Life;
+use hemlocktack_fleet::configuration::{ConfigurationState, PeerView, watches_platform};
+use hemlocktack_fleet::drain::NodeLifecycle;
 use hemlocktack_fleet::membership::{Membership, Peer};
 use hemlocktack_protocol::{Generation, Incarnation, Member, NodeState};
 use rand::RngExt;
@@ -34,8 +34,8 @@
     pub(crate) incarnation: Incarnation,
     pub(crate) started: Duration,
     pub(crate) membership: Membership,
-    pub(crate) in_force: InForce,
-    pub(crate) life: Life,
+    pub(crate) in_force: ConfigurationState,
+    pub(crate) life: NodeLifecycle,
     /// Highest generation ever installed by this process.
     pub(crate) installed: Generation,
     /// Since when the process has been leaving.
@@ -96,8 +96,8 @@
             incarnation: member.incarnation,
             started: now,
             membership: Membership::new(settings.membership.clone(), member, instant),
-            in_force: InForce::new(settings.configuration.clone(), instant),
-            life: Life::new(settings.drain.clone(), instant),
+            in_force: ConfigurationState::new(settings.configuration.clone(), instant),
+            life: NodeLifecycle::new(settings.drain.clone(), instant),
             installed: 0,
             leaving_since: None,
             upstream_drained: None,
@@ -113,7 +113,7 @@
 }
 
 impl Process {
-    pub(crate) fn peers_view(&self, watchers: usize) -> PeersView {
+    pub(crate) fn peers_view(&self, watchers: usize) -> PeerView {
         let peers = self.membership.peers();
         let ready = |peer: &&Peer| peer.state == NodeState::Ready;
         let own = self.membership.own();
@@ -121,7 +121,7 @@
         let is_live = |peer: &&Peer| matches!(peer.state, NodeState::Ready | NodeState::Starting);
         let near = peers.iter().filter(is_near).filter(is_live);
         let near = near.map(|peer| peer.member.node_id.as_str());
-        PeersView {
+        PeerView {
             ready: peers
                 .iter()
                 .filter(ready)
--- a/crates/hemlocktack-fleet/examples/fleet_runs/safeguards.rs
+++ b/crates/hemlocktack-fleet/examples/fleet_runs/safeguards.rs
@@ -4,14 +4,14 @@
 
 use hemlocktack_fleet::configuration::ConfigurationSafeguard;
 use hemlocktack_fleet::drain::DrainSafeguard;
-use hemlocktack_fleet::membership::Safeguard;
+use hemlocktack_fleet::membership::MembershipSafeguard;
 use strum::IntoEnumIterator;
 
 use crate::world::Settings;
 
 /// All names, in the order of the mutation table.
 pub(crate) fn names() -> Vec<String> {
-    let membership = Safeguard::iter().map(|safeguard| safeguard.to_string());
+    let membership = MembershipSafeguard::iter().map(|safeguard| safeguard.to_string());
     let configuration = ConfigurationSafeguard::iter().map(|safeguard| safeguard.to_string());
     let drain = DrainSafeguard::iter().map(|safeguard| safeguard.to_string());
     membership.chain(configuration).chain(drain).collect()
@@ -23,9 +23,9 @@
     let Some(name) = without else {
         return Ok(settings);
     };
-    settings.membership.without = Safeguard::from_str(name).ok();
-    settings.configuration.without = ConfigurationSafeguard::from_str(name).ok();
-    settings.drain.without = DrainSafeguard::from_str(name).ok();
+    settings.membership.disabled_safeguard = MembershipSafeguard::from_str(name).ok();
+    settings.configuration.disabled_safeguard = ConfigurationSafeguard::from_str(name).ok();
+    settings.drain.disabled_safeguard = DrainSafeguard::from_str(name).ok();
     match names().iter().any(|known| known == name) {
         true => Ok(settings),
         false => Err(format!("no safeguard is named {name}")),
--- a/crates/hemlocktack-fleet/examples/fleet_runs/steps.rs
+++ b/crates/hemlocktack-fleet/examples/fleet_runs/steps.rs
@@ -53,7 +53,7 @@
             }
             Event::PlatformFailed => process.in_force.platform_failed(instant, &mut self.rng),
             Event::Stored(document) => {
-                let actions = process.in_force.stored_here(document);
+                let actions = process.in_force.stored_locally(document);
                 self.configure(number, process, actions)?;
             }
             Event::Write {
--- a/crates/hemlocktack-fleet/examples/fleet_runs/world.rs
+++ b/crates/hemlocktack-fleet/examples/fleet_runs/world.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use hemlocktack_fleet::configuration::ConfigurationSettings;
-use hemlocktack_fleet::drain::{DrainSettings, LifeAction};
+use hemlocktack_fleet::drain::{DrainSettings, LifecycleAction};
 use hemlocktack_fleet::membership::MembershipSettings;
 use hemlocktack_protocol::{ConfigurationDocument, Generation, Gossip, Incarnation};
 use rand::rngs::StdRng;
@@ -233,7 +233,7 @@
     pub(crate) fn with_life(
         &mut self,
         number: usize,
-        change: impl FnOnce(&mut Process, Instant) -> Vec<LifeAction>,
+        change: impl FnOnce(&mut Process, Instant) -> Vec<LifecycleAction>,
     ) {
         let instant = self.instant();
         let Some(mut process) = self.slots[number].process.take() else {
--- a/crates/hemlocktack-fleet/examples/fleet_size/scenarios.rs
+++ b/crates/hemlocktack-fleet/examples/fleet_size/scenarios.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hemlocktack_fleet::membership::Safeguard;
+use hemlocktack_fleet::membership::MembershipSafeguard;
 use hemlocktack_protocol::NodeState;
 
 use crate::world::{World, data_centre_of, region_of};
@@ -27,7 +27,7 @@
     let back = bring_back(&mut world);
     report(&mut world, "its nodes start anew: in all views", back);
     regions(&mut world);
-    let mut late = World::new(size, Some(Safeguard::UrgentNews));
+    let mut late = World::new(size, Some(MembershipSafeguard::UrgentNews));
     let _ = late.run_until(LIMIT, all_see_all);
     meter(&mut late);
     let told = drain(&mut late);
--- a/crates/hemlocktack-fleet/examples/fleet_size/world.rs
+++ b/crates/hemlocktack-fleet/examples/fleet_size/world.rs
@@ -5,8 +5,10 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use hemlocktack_fleet::drain::Publication;
-use hemlocktack_fleet::membership::{Action, Membership, MembershipSettings, Safeguard};
+use hemlocktack_fleet::drain::PublishedState;
+use hemlocktack_fleet::membership::{
+    Membership, MembershipAction, MembershipSafeguard, MembershipSettings,
+};
 use hemlocktack_protocol::{Gossip, Member, NodeState, UpstreamState};
 use prost::Message;
 use rand::rngs::StdRng;
@@ -42,7 +44,7 @@
     pub(crate) regions_apart: bool,
     /// Real time spent in the machines.
     pub(crate) computing: Duration,
-    without: Option<Safeguard>,
+    without: Option<MembershipSafeguard>,
     base: Instant,
     rng: StdRng,
     queue: BinaryHeap<Reverse<(Duration, u64)>>,
@@ -72,7 +74,7 @@
 }
 
 impl World {
-    pub(crate) fn new(size: usize, without: Option<Safeguard>) -> Self {
+    pub(crate) fn new(size: usize, without: Option<MembershipSafeguard>) -> Self {
         let node = |_| Node {
             membership: None,
             incarnation: 0,
@@ -115,7 +117,7 @@
             ..Member::default()
         };
         let settings = MembershipSettings {
-            without: self.without,
+            disabled_safeguard: self.without,
             ..MembershipSettings::default()
         };
         let mut membership = Membership::new(settings, own, self.base + self.now);
@@ -136,7 +138,7 @@
         let Some(membership) = &mut self.nodes[number].membership else {
             return;
         };
-        let publication = Publication {
+        let publication = PublishedState {
             state,
             upstream: UpstreamState::Ready,
             slots: 45,
@@ -228,7 +230,7 @@
                 let from = address(from);
                 let actions = membership.receive(instant, from, *gossip, &mut self.rng);
                 for action in &actions {
-                    if let Action::GenerationHeard { generation, .. } = action {
+                    if let MembershipAction::NewerGenerationSeen { generation, .. } = action {
                         // The pull over a link takes a few milliseconds.
                         let told = membership.set_generation(*generation, &mut self.rng);
                         self.computing += begun.elapsed();
@@ -243,9 +245,9 @@
         self.act(number, actions);
     }
 
-    fn act(&mut self, from: usize, actions: Vec<Action>) {
+    fn act(&mut self, from: usize, actions: Vec<MembershipAction>) {
         for action in actions {
-            let Action::Send { to, gossip } = action else {
+            let MembershipAction::Send { to, gossip } = action else {
                 continue;
             };
             self.nodes[from].sent_bytes += length(&gossip);
--- a/crates/hemlocktack-fleet/examples/randomised/world/home.rs
+++ b/crates/hemlocktack-fleet/examples/randomised/world/home.rs
@@ -1,6 +1,6 @@
 //! The home of a ticket: joins, starts, delegates, refuses.
 
-use hemlocktack_fleet::tickets::{Nonce, Start, Ticket};
+use hemlocktack_fleet::tickets::{Nonce, StartDecision, Ticket};
 use hemlocktack_protocol::{Answer, CallId, CallPurpose, Outcome, Reason, Unfinished};
 
 use crate::world::events::NodeEvent;
@@ -37,22 +37,22 @@
             None => process.table.start(&ticket, fingerprint),
         };
         match start {
-            Start::Run => {
+            StartDecision::Run => {
                 if ticket.home != process.name {
                     self.ledger.counts.adopted_starts += 1;
                 }
                 self.let_in(process, work, ticket, asker);
             }
-            Start::Join => {
+            StartDecision::Join => {
                 self.ledger.counts.joins += 1;
                 self.join(process, work, ticket, asker);
             }
-            Start::Answered(answer) => self.end_asker(process, asker, &answer),
-            Start::AnswerNotKept => {
+            StartDecision::Answered(answer) => self.end_asker(process, asker, &answer),
+            StartDecision::AnswerNotKept => {
                 let answer = unfinished_for(Outcome::Unknown, Reason::AnswerNotKept);
                 self.end_asker(process, asker, &answer);
             }
-            Start::Refused(refused) => self.refused(process, work, asker, refused),
+            StartDecision::Refused(refused) => self.refused(process, work, asker, refused),
         }
     }
 
@@ -147,7 +147,7 @@
     }
 
     fn start_here(&mut self, process: &mut Process, nonce: Nonce) {
-        let allowed = process.table.started(nonce).is_ok();
+        let allowed = process.table.mark_started(nonce).is_ok();
         if !allowed && self.safeguards.has(Safeguard::StateChecked) {
             return;
         }
@@ -221,9 +221,9 @@
         match answer.outcome() {
             Outcome::Answered => {
                 if !self.safeguards.has(Safeguard::DelegationRecorded) {
-                    let _ = process.table.started(nonce);
+                    let _ = process.table.mark_started(nonce);
                 }
-                if process.table.answer(nonce, shared(&answer)).is_ok() {
+                if process.table.record_answer(nonce, shared(&answer)).is_ok() {
                     self.end(process, nonce, &answer);
                 }
             }
@@ -233,7 +233,7 @@
     }
 
     pub(super) fn delegate_not_run(&mut self, process: &mut Process, nonce: Nonce, from: At) {
-        if process.table.give_back_from(nonce, &name_of(from)).is_ok() {
+        if process.table.requeue_from(nonce, &name_of(from)).is_ok() {
             self.step_later(process, nonce);
         }
     }
@@ -243,7 +243,11 @@
             self.delegate_not_run(process, nonce, from);
             return;
         }
-        if process.table.give_up(nonce, Reason::LinkLost).is_ok() {
+        if process
+            .table
+            .record_unknown(nonce, Reason::LinkLost)
+            .is_ok()
+        {
             self.end(
                 process,
                 nonce,
@@ -279,10 +283,10 @@
         answer: Answer,
     ) {
         let recorded = match run_end {
-            RunEnd::Answer => process.table.answer(nonce, shared(&answer)),
-            RunEnd::Failed => process.table.give_up(nonce, Reason::UpstreamFailed),
+            RunEnd::Answer => process.table.record_answer(nonce, shared(&answer)),
+            RunEnd::Failed => process.table.record_unknown(nonce, Reason::UpstreamFailed),
             RunEnd::Shed => {
-                if process.table.give_back(nonce).is_ok() {
+                if process.table.requeue(nonce).is_ok() {
                     self.step_later(process, nonce);
                 }
                 return;
@@ -323,7 +327,7 @@
 
 /// Tells those whose waiting request the freeze of the table has fenced.
 pub(crate) fn fenced_by_freeze(process: &Process) -> Vec<Nonce> {
-    let is_fenced = |nonce: &&Nonce| process.table.end_of(**nonce).is_some();
+    let is_fenced = |nonce: &&Nonce| process.table.outcome_of(**nonce).is_some();
     process
         .home_calls
         .keys()
--- a/crates/hemlocktack-fleet/examples/randomised/world/network.rs
+++ b/crates/hemlocktack-fleet/examples/randomised/world/network.rs
@@ -1,6 +1,6 @@
 //! Links between nodes: delayed, reordered, duplicated and lost frames.
 
-use hemlocktack_fleet::calls::{Arrival, Resolution, Resolved, Sends};
+use hemlocktack_fleet::calls::{Arrival, PendingCalls, Resolution, Resolved};
 use hemlocktack_protocol::frame::Body;
 use hemlocktack_protocol::{
     Answer, Call, CallId, CallProgress, CallPurpose, CallResolution, Outcome, Reason, ResolveCall,
@@ -53,7 +53,7 @@
         let sends = process
             .sends
             .entry(to)
-            .or_insert_with(|| Sends::new(name_of(to)));
+            .or_insert_with(|| PendingCalls::new(name_of(to)));
         sends.insert(call_id, waiter);
         let body = Body::Call(call);
         match self.chance(self.fault_rates.queued_frame_percent) {
@@ -71,7 +71,7 @@
             return;
         };
         let may_write =
-            sends.sent(call_id) || !self.safeguards.has(Safeguard::QueuedFrameWithdrawn);
+            sends.mark_sent(call_id) || !self.safeguards.has(Safeguard::QueuedFrameWithdrawn);
         if process.links.contains_key(&to) && may_write {
             self.send(process, to, body);
         }
@@ -96,7 +96,9 @@
     }
 
     fn on_call(&mut self, process: &mut Process, from: At, call: Call) {
-        let arrival = process.arrivals.arrive(&name_of(from), call.call_id);
+        let arrival = process
+            .arrivals
+            .record_arrival(&name_of(from), call.call_id);
         if arrival == Arrival::Dropped && self.safeguards.has(Safeguard::DuplicateCalls) {
             return;
         }
@@ -273,7 +275,7 @@
         let call_ids = process
             .sends
             .get(&peer)
-            .map(Sends::unresolved)
+            .map(PendingCalls::unresolved)
             .unwrap_or_default();
         for call_id in call_ids {
             self.send(process, peer, Body::Resolve(ResolveCall { call_id }));
--- a/crates/hemlocktack-fleet/examples/randomised/world/process.rs
+++ b/crates/hemlocktack-fleet/examples/randomised/world/process.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use hemlocktack_fleet::NodeIncarnation;
-use hemlocktack_fleet::calls::{ArrivalLimits, Arrivals, Sends};
-use hemlocktack_fleet::handover::{HandoverLimits, Leaving, Receiving};
+use hemlocktack_fleet::calls::{ArrivalLimits, Arrivals, PendingCalls};
+use hemlocktack_fleet::handover::{HandoverLimits, IncomingHandovers, OutgoingHandover};
 use hemlocktack_fleet::tickets::{ChildCalls, Nonce, TableLimits, Ticket, TicketTable};
 use hemlocktack_protocol::CallId;
 
@@ -79,9 +79,9 @@
     pub(crate) since_ms: TimeMs,
     // The operators' limit; what is still in flight then is cut.
     pub(crate) limit_ms: TimeMs,
-    pub(crate) leaving: Option<Leaving>,
+    pub(crate) leaving: Option<OutgoingHandover>,
     // Before any offer; only for the run without `CommitOnce`.
-    pub(crate) first_leaving: Option<Leaving>,
+    pub(crate) first_leaving: Option<OutgoingHandover>,
     pub(crate) offered_to: Option<At>,
     pub(crate) offers_left: u32,
 }
@@ -92,8 +92,8 @@
     pub(crate) name: NodeIncarnation,
     pub(crate) table: TicketTable,
     pub(crate) arrivals: Arrivals,
-    pub(crate) receiving: Receiving,
-    pub(crate) sends: BTreeMap<At, Sends<Waiter>>,
+    pub(crate) receiving: IncomingHandovers,
+    pub(crate) sends: BTreeMap<At, PendingCalls<Waiter>>,
     pub(crate) links: BTreeMap<At, u64>,
     pub(crate) entries: BTreeMap<SendId, EntryCall>,
     pub(crate) askers: BTreeMap<Nonce, Vec<Asker>>,
@@ -127,7 +127,7 @@
             name,
             table,
             arrivals: Arrivals::new(ARRIVAL_LIMITS),
-            receiving: Receiving::new(HandoverLimits::default()),
+            receiving: IncomingHandovers::new(HandoverLimits::default()),
             sends: BTreeMap::new(),
             links: BTreeMap::new(),
             entries: BTreeMap::new(),
--- a/crates/hemlocktack-fleet/examples/randomised/world/stop.rs
+++ b/crates/hemlocktack-fleet/examples/randomised/world/stop.rs
@@ -1,6 +1,6 @@
 //! Planned stops: drain, handover, exit.
 
-use hemlocktack_fleet::handover::{Leaving, Progress};
+use hemlocktack_fleet::handover::{HandoverProgress, OutgoingHandover};
 use hemlocktack_protocol::frame::Body;
 use hemlocktack_protocol::{Handover, HandoverAccepted, TicketProgress};
 
@@ -46,7 +46,7 @@
         let may_begin =
             process.is_idle() || limit_reached || !self.safeguards.has(Safeguard::StopWaits);
         if stop.leaving.is_none() && may_begin {
-            let leaving = Leaving::begin(&mut process.table);
+            let leaving = OutgoingHandover::begin(&mut process.table);
             stop.first_leaving = Some(leaving.clone());
             stop.leaving = Some(leaving);
             for nonce in fenced_by_freeze(process) {
@@ -124,12 +124,16 @@
         };
         at_once.entries.clear();
         let name = name_of(from);
-        let accepted = process.receiving.part(&mut process.table, &name, frame);
+        let accepted = process
+            .receiving
+            .handle_frame(&mut process.table, &name, frame);
         let Ok(accepted) = accepted else {
             return;
         };
         if accepted.complete && !self.safeguards.has(Safeguard::Commit) {
-            let _ = process.receiving.part(&mut process.table, &name, at_once);
+            let _ = process
+                .receiving
+                .handle_frame(&mut process.table, &name, at_once);
         }
         if accepted.committed || process.table.homes().count() != home_count {
             self.publish_successions(process);
@@ -169,14 +173,14 @@
         let Some(leaving) = process.stop.as_mut().and_then(|stop| stop.leaving.as_mut()) else {
             return;
         };
-        match leaving.accepted(&name_of(from), accepted) {
-            Progress::Waiting | Progress::Refused => {}
-            Progress::Commit(frames) => {
+        match leaving.handle_accepted(&name_of(from), accepted) {
+            HandoverProgress::Waiting | HandoverProgress::Refused => {}
+            HandoverProgress::Commit(frames) => {
                 for frame in frames {
                     self.send(process, from, Body::Handover(frame));
                 }
             }
-            Progress::Finished => self.leave(process),
+            HandoverProgress::Finished => self.leave(process),
         }
     }
 
--- a/crates/hemlocktack-fleet/examples/randomised/world/upstream.rs
+++ b/crates/hemlocktack-fleet/examples/randomised/world/upstream.rs
@@ -78,8 +78,8 @@
             self.note_start_while_stopping(process);
         }
         let children = match &work.ticket {
-            Some(ticket) => ChildCalls::of_ticketed(ticket.nonce),
-            None => ChildCalls::of_idempotent(),
+            Some(ticket) => ChildCalls::for_ticketed_parent(ticket.nonce),
+            None => ChildCalls::for_idempotent_parent(),
         };
         let run = Run {
             run_for,
@@ -175,7 +175,7 @@
             None => vec![key],
         };
         let service = ServiceName::from(service_name(true));
-        let forgetful = ChildCalls::of_ticketed(self.rng.random());
+        let forgetful = ChildCalls::for_ticketed_parent(self.rng.random());
         let running = process.runs.get_mut(&run)?;
         let is_idempotent = self
             .requests
--- a/crates/hemlocktack-fleet/src/calls/arrivals.rs
+++ b/crates/hemlocktack-fleet/src/calls/arrivals.rs
@@ -145,7 +145,7 @@
     }
 
     /// Notes a `Call` frame.
-    pub fn arrive(&mut self, from: &NodeIncarnation, call_id: CallId) -> Arrival {
+    pub fn record_arrival(&mut self, from: &NodeIncarnation, call_id: CallId) -> Arrival {
         let sender = self.sender_mut(from);
         let mark = *sender.mark.get_or_insert(call_id);
         let known = sender.progress.get(&call_id).copied();
--- a/crates/hemlocktack-fleet/src/calls/mod.rs
+++ b/crates/hemlocktack-fleet/src/calls/mod.rs
@@ -2,20 +2,20 @@
 //!
 //! How a node drives this module:
 //!
-//! - Receiver: each `Call` frame goes through [`Arrivals::arrive`]; only
+//! - Receiver: each `Call` frame goes through [`Arrivals::record_arrival`]; only
 //!   [`Arrival::New`] is run. Each end goes through [`Arrivals::finish`], each
 //!   `ResolveCall` frame through [`Arrivals::resolve`].
 //! - Sender: `links/outgoing.rs` of the node keeps these rules with code of its
-//!   own, a task for each call; [`Sends`] states them for the randomised runs:
-//!   one per peer incarnation. [`Sends::insert`] before the
-//!   frame is queued, [`Sends::sent`] before its first byte is written,
-//!   [`Sends::answered`] with each `Answer` frame. Link lost:
-//!   [`Sends::link_lost`], then, over a new link, a `ResolveCall` frame for
-//!   each of [`Sends::unresolved`] and [`Sends::resolved`] with what comes
-//!   back; another incarnation at the other end: [`Sends::peer_gone`].
+//!   own, a task for each call; [`PendingCalls`] states them for the randomised runs:
+//!   one per peer incarnation. [`PendingCalls::insert`] before the
+//!   frame is queued, [`PendingCalls::mark_sent`] before its first byte is written,
+//!   [`PendingCalls::answered`] with each `Answer` frame. Link lost:
+//!   [`PendingCalls::link_lost`], then, over a new link, a `ResolveCall` frame for
+//!   each of [`PendingCalls::unresolved`] and [`PendingCalls::resolved`] with what comes
+//!   back; another incarnation at the other end: [`PendingCalls::peer_gone`].
 
 mod arrivals;
-mod sends;
+mod pending_calls;
 
 pub use arrivals::{Arrival, ArrivalCounts, ArrivalLimits, Arrivals, Resolution};
-pub use sends::{LinkLoss, Resolved, Sends};
+pub use pending_calls::{LinkLoss, PendingCalls, Resolved};
--- a/crates/hemlocktack-fleet/src/calls/sends.rs
+++ b/crates/hemlocktack-fleet/src/calls/pending_calls.rs
@@ -47,19 +47,19 @@
 /// Calls that wait for an answer of one peer incarnation.
 ///
 /// Each waiter is handed out exactly once. The answers of another peer or
-/// another incarnation never come here: each has its own `Sends`, so that a
+/// another incarnation never come here: each has its own `PendingCalls`, so that a
 /// caller can't get an answer to a call with the same number elsewhere.
 #[derive(Clone, Debug)]
-pub struct Sends<Waiter> {
+pub struct PendingCalls<Waiter> {
     peer: NodeIncarnation,
     sends: HashMap<CallId, Send<Waiter>>,
     dropped_answers: u64,
 }
 
-impl<Waiter> Sends<Waiter> {
+impl<Waiter> PendingCalls<Waiter> {
     /// For the incarnation that the link's handshake proved.
-    pub fn new(peer: NodeIncarnation) -> Sends<Waiter> {
-        Sends {
+    pub fn new(peer: NodeIncarnation) -> PendingCalls<Waiter> {
+        PendingCalls {
             peer,
             sends: HashMap::new(),
             dropped_answers: 0,
@@ -96,7 +96,7 @@
 
     /// Notes that the frame's first byte is about to be written. `false`: the
     /// call has been settled meanwhile and must not be written.
-    pub fn sent(&mut self, call_id: CallId) -> bool {
+    pub fn mark_sent(&mut self, call_id: CallId) -> bool {
         let Some(send) = self.sends.get_mut(&call_id) else {
             return false;
         };
--- a/crates/hemlocktack-fleet/src/configuration/from_platform.rs
+++ b/crates/hemlocktack-fleet/src/configuration/from_platform.rs
@@ -5,21 +5,21 @@
 use hemlocktack_protocol::ConfigurationDocument;
 use rand::{Rng, RngExt};
 
-use super::in_force::{ConfigurationAction, InForce, PeersView};
 use super::settings::ConfigurationSafeguard;
+use super::state::{ConfigurationAction, ConfigurationState, PeerView};
 
 /// Longest pause before a watch that follows a refused one: a change is still
 /// in force within seconds.
 const REWATCH_PAUSE: Duration = Duration::from_secs(2);
 
-impl InForce {
+impl ConfigurationState {
     /// The platform answered: with a document, or with nothing above what is
     /// in force.
     pub fn platform_answered(
         &mut self,
         now: Instant,
         document: Option<ConfigurationDocument>,
-        view: &PeersView,
+        view: &PeerView,
         rng: &mut impl Rng,
     ) -> Vec<ConfigurationAction> {
         let mut actions = Vec::new();
@@ -54,7 +54,7 @@
     pub(super) fn ask_platform(
         &mut self,
         now: Instant,
-        view: &PeersView,
+        view: &PeerView,
         actions: &mut Vec<ConfigurationAction>,
     ) {
         let watches = self.watches(view);
@@ -72,10 +72,10 @@
         };
         self.platform.begin(now, timeout);
         let above = self.generation();
-        actions.push(ConfigurationAction::AskPlatform { above, wait });
+        actions.push(ConfigurationAction::ReadPlatform { above, wait });
     }
 
-    fn watches(&self, view: &PeersView) -> bool {
+    fn watches(&self, view: &PeerView) -> bool {
         view.is_watcher && self.settings.keeps(ConfigurationSafeguard::Watchers)
     }
 
@@ -83,7 +83,7 @@
     /// asks soon; all others seldom, at times drawn apart. A node that cannot
     /// read the document hears of a newer one from peers as well, and a whole
     /// fleet of an older version must not use up the platform's rates.
-    fn pause_after_answer(&self, view: &PeersView, rng: &mut impl Rng) -> Duration {
+    fn pause_after_answer(&self, view: &PeerView, rng: &mut impl Rng) -> Duration {
         if self.is_revision_gone {
             // Where the store forgets faster than a watch follows, reads and
             // refused watches without a pause would use up the node's budget.
--- a/crates/hemlocktack-fleet/src/configuration/peer_pulls.rs
+++ b/crates/hemlocktack-fleet/src/configuration/peer_pulls.rs
@@ -6,8 +6,8 @@
 use rand::seq::IteratorRandom;
 use rand::{Rng, RngExt};
 
-use super::in_force::{ConfigurationAction, InForce, PeersView};
 use super::settings::ConfigurationSafeguard;
+use super::state::{ConfigurationAction, ConfigurationState, PeerView};
 
 /// Peers with a higher generation that are remembered.
 const HEARD_LIMIT: usize = 8;
@@ -17,9 +17,9 @@
     sent: Instant,
 }
 
-impl InForce {
+impl ConfigurationState {
     /// A peer says that it has a higher generation in force.
-    pub fn hear(&mut self, node_id: &str, generation: Generation) {
+    pub fn peer_announced(&mut self, node_id: &str, generation: Generation) {
         if generation <= self.newest_seen() {
             return;
         }
@@ -85,7 +85,7 @@
     pub(super) fn ask_peer(
         &mut self,
         now: Instant,
-        view: &PeersView,
+        view: &PeerView,
         actions: &mut Vec<ConfigurationAction>,
         rng: &mut impl Rng,
     ) {
@@ -106,7 +106,7 @@
 
     /// Any peer with a higher generation; while starting without the platform,
     /// any ready peer that has not answered yet.
-    fn next_peer(&self, view: &PeersView, rng: &mut impl Rng) -> Option<String> {
+    fn next_peer(&self, view: &PeerView, rng: &mut impl Rng) -> Option<String> {
         let heard = self.heard.keys().choose(rng);
         if heard.is_some() || self.caught_up || !self.platform.has_failed() {
             return heard.cloned();
--- a/crates/hemlocktack-fleet/src/configuration/settings.rs
+++ b/crates/hemlocktack-fleet/src/configuration/settings.rs
@@ -45,7 +45,7 @@
     /// Whether this version of the node can bring a document into force.
     pub can_read: fn(&ConfigurationDocument) -> bool,
     /// Rule that a mutation run leaves out.
-    pub without: Option<ConfigurationSafeguard>,
+    pub disabled_safeguard: Option<ConfigurationSafeguard>,
 }
 
 impl Default for ConfigurationSettings {
@@ -60,13 +60,13 @@
             backoff_limit: Duration::from_secs(30),
             backstop_period: Duration::from_secs(5 * 60),
             can_read: |_| true,
-            without: None,
+            disabled_safeguard: None,
         }
     }
 }
 
 impl ConfigurationSettings {
     pub(crate) fn keeps(&self, safeguard: ConfigurationSafeguard) -> bool {
-        self.without != Some(safeguard)
+        self.disabled_safeguard != Some(safeguard)
     }
 }
--- a/crates/hemlocktack-fleet/src/configuration/in_force.rs
+++ b/crates/hemlocktack-fleet/src/configuration/state.rs
@@ -14,15 +14,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfigurationAction {
     /// Read the stored document from the platform; answer with
-    /// [`InForce::platform_answered`] or [`InForce::platform_failed`].
-    AskPlatform {
+    /// [`ConfigurationState::platform_answered`] or [`ConfigurationState::platform_failed`].
+    ReadPlatform {
         /// Only a generation above this one is news.
         above: Generation,
         /// Let the platform hold the call until there is one (a watch).
         wait: bool,
     },
-    /// Ask a peer over a link; answer with [`InForce::peer_answered`] or
-    /// [`InForce::peer_failed`].
+    /// Ask a peer over a link; answer with [`ConfigurationState::peer_answered`] or
+    /// [`ConfigurationState::peer_failed`].
     Pull {
         /// Peer to ask.
         node_id: String,
@@ -45,7 +45,7 @@
 
 /// What membership says at this moment.
 #[derive(Clone, Debug, Default)]
-pub struct PeersView {
+pub struct PeerView {
     /// Live nodes that have a configuration in force.
     pub ready: Vec<String>,
     /// Whether this node is to watch the platform.
@@ -57,7 +57,7 @@
 ///
 /// Nothing here waits for agreement. The platform's conditional update has
 /// ordered the generations already; a node only has to move up.
-pub struct InForce {
+pub struct ConfigurationState {
     pub(super) settings: ConfigurationSettings,
     pub(super) current: Option<ConfigurationDocument>,
     /// Highest generation seen that this version cannot read.
@@ -73,7 +73,7 @@
     pub(super) is_revision_gone: bool,
 }
 
-impl InForce {
+impl ConfigurationState {
     /// Starts with nothing in force.
     pub fn new(settings: ConfigurationSettings, now: Instant) -> Self {
         Self {
@@ -122,7 +122,7 @@
     pub fn tick(
         &mut self,
         now: Instant,
-        view: &PeersView,
+        view: &PeerView,
         rng: &mut impl Rng,
     ) -> Vec<ConfigurationAction> {
         let mut actions = Vec::new();
@@ -137,7 +137,7 @@
     }
 
     /// A command on this very node has stored a document.
-    pub fn stored_here(&mut self, document: ConfigurationDocument) -> Vec<ConfigurationAction> {
+    pub fn stored_locally(&mut self, document: ConfigurationDocument) -> Vec<ConfigurationAction> {
         let mut actions = Vec::new();
         self.take(document, &mut actions);
         actions
@@ -181,7 +181,7 @@
     /// Without the platform a starting node has caught up when several ready
     /// peers have answered and none is known to have more. One peer alone may
     /// have been cut off itself.
-    fn check_caught_up(&mut self, view: &PeersView, actions: &mut Vec<ConfigurationAction>) {
+    fn check_caught_up(&mut self, view: &PeerView, actions: &mut Vec<ConfigurationAction>) {
         if !self.settings.keeps(ConfigurationSafeguard::CatchUp) {
             self.catch_up(actions);
             return;
--- a/crates/hemlocktack-fleet/src/drain/mod.rs
+++ b/crates/hemlocktack-fleet/src/drain/mod.rs
@@ -1,8 +1,10 @@
 //! The life of a node and of the upstream beside it, up to a stop that cuts
 //! nothing off.
 
-mod life;
-mod upstream;
+mod node_lifecycle;
+mod upstream_lifecycle;
 
-pub use life::{DrainSafeguard, DrainSettings, Life, LifeAction, Publication};
-pub use upstream::{Announcement, UpstreamSettings};
+pub use node_lifecycle::{
+    DrainSafeguard, DrainSettings, LifecycleAction, NodeLifecycle, PublishedState,
+};
+pub use upstream_lifecycle::{Announcement, UpstreamSettings};
--- a/crates/hemlocktack-fleet/src/drain/life.rs
+++ b/crates/hemlocktack-fleet/src/drain/node_lifecycle.rs
@@ -6,7 +6,7 @@
 
 use strum::{Display, EnumIter, EnumString};
 
-use super::upstream::{Announcement, Upstream, UpstreamSettings};
+use super::upstream_lifecycle::{Announcement, Upstream, UpstreamSettings};
 
 /// A rule that a mutation run switches off, to show that the run notices.
 /// A node never does.
@@ -24,7 +24,7 @@
 pub struct DrainSettings {
     /// A draining node stays at least so long, refusing, so that others have
     /// heard of the drain before it cannot answer any more.
-    pub settle: Duration,
+    pub min_drain_time: Duration,
     /// Longest that calls in flight are waited for, by the operators' choice.
     /// Where it is exceeded, the calls left are reported and end as unknown.
     pub hard_limit: Option<Duration>,
@@ -33,28 +33,28 @@
     /// Periods of the upstream's announcements.
     pub upstream: UpstreamSettings,
     /// Rule that a mutation run leaves out.
-    pub without: Option<DrainSafeguard>,
+    pub disabled_safeguard: Option<DrainSafeguard>,
 }
 
 impl Default for DrainSettings {
     fn default() -> Self {
         Self {
-            settle: Duration::from_secs(3),
+            min_drain_time: Duration::from_secs(3),
             hard_limit: None,
             handover_limit: Duration::from_secs(10),
             upstream: UpstreamSettings::default(),
-            without: None,
+            disabled_safeguard: None,
         }
     }
 }
 
 /// What the runtime has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LifeAction {
+pub enum LifecycleAction {
     /// Tell the members (`Membership::update_own`).
-    Publish(Publication),
+    Publish(PublishedState),
     /// Nothing is in flight: give the tickets to a successor, then call
-    /// [`Life::handed_over`].
+    /// [`NodeLifecycle::handed_over`].
     HandOver,
     /// The hard limit was exceeded with calls still in flight.
     ReportOverrun {
@@ -67,7 +67,7 @@
 
 /// What members are told of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Publication {
+pub struct PublishedState {
     /// State of the node.
     pub state: NodeState,
     /// State of its upstream.
@@ -86,15 +86,15 @@
 }
 
 /// The life of one node and its upstream.
-pub struct Life {
+pub struct NodeLifecycle {
     settings: DrainSettings,
     caught_up: bool,
     stop: Stop,
     upstream: Upstream,
-    published: Publication,
+    published: PublishedState,
 }
 
-impl Life {
+impl NodeLifecycle {
     /// A node that has just started.
     pub fn new(settings: DrainSettings, now: Instant) -> Self {
         let upstream = Upstream::new(settings.upstream.clone(), now);
@@ -103,7 +103,7 @@
             caught_up: false,
             stop: Stop::None,
             upstream,
-            published: Publication {
+            published: PublishedState {
                 state: NodeState::Starting,
                 upstream: UpstreamState::Absent,
                 slots: 0,
@@ -112,7 +112,7 @@
     }
 
     /// What members were told last.
-    pub fn publication(&self) -> Publication {
+    pub fn publication(&self) -> PublishedState {
         self.published
     }
 
@@ -132,27 +132,27 @@
     }
 
     /// Whether a call may be handed to the upstream now.
-    pub fn takes_new_work(&self) -> bool {
+    pub fn accepts_new_calls(&self) -> bool {
         let upstream = self.upstream();
         self.state() == NodeState::Ready
             && matches!(upstream, UpstreamState::Cold | UpstreamState::Ready)
     }
 
     /// The configuration has caught up.
-    pub fn caught_up(&mut self) -> Vec<LifeAction> {
+    pub fn configuration_caught_up(&mut self) -> Vec<LifecycleAction> {
         self.caught_up = true;
         self.publish_changes()
     }
 
     /// The upstream announced itself or renewed its announcement.
-    pub fn announce(&mut self, now: Instant, announcement: Announcement) -> Vec<LifeAction> {
-        let keeps = self.settings.without != Some(DrainSafeguard::LateRenewal);
+    pub fn announce(&mut self, now: Instant, announcement: Announcement) -> Vec<LifecycleAction> {
+        let keeps = self.settings.disabled_safeguard != Some(DrainSafeguard::LateRenewal);
         self.upstream.announce(now, announcement, keeps);
         self.publish_changes()
     }
 
     /// The upstream asked for no more work.
-    pub fn drain_upstream(&mut self) -> Vec<LifeAction> {
+    pub fn drain_upstream(&mut self) -> Vec<LifecycleAction> {
         self.upstream.drain();
         self.publish_changes()
     }
@@ -164,7 +164,7 @@
 
     /// This node is to stop: by a signal, by an operator's command, or since it
     /// has been replaced. Repeating it changes nothing.
-    pub fn drain(&mut self, now: Instant) -> Vec<LifeAction> {
+    pub fn drain(&mut self, now: Instant) -> Vec<LifecycleAction> {
         if self.stop == Stop::None {
             self.stop = Stop::WaitingForCalls { since: now };
         }
@@ -172,26 +172,26 @@
     }
 
     /// The tickets have a new home, or none could be found.
-    pub fn handed_over(&mut self) -> Vec<LifeAction> {
+    pub fn handed_over(&mut self) -> Vec<LifecycleAction> {
         if !matches!(self.stop, Stop::HandingOver { .. }) {
             return Vec::new();
         }
         self.stop = Stop::Done;
         let mut actions = self.publish_changes();
-        actions.push(LifeAction::Leave);
+        actions.push(LifecycleAction::Leave);
         actions
     }
 
     /// To be called several times a second: an upstream's announcement may
     /// have lapsed.
-    pub fn check_upstream(&mut self, now: Instant) -> Vec<LifeAction> {
+    pub fn check_upstream(&mut self, now: Instant) -> Vec<LifecycleAction> {
         self.upstream.tick(now);
         self.publish_changes()
     }
 
     /// To be called several times a second during a stop, with the calls in
     /// flight here in both roles.
-    pub fn check_stop(&mut self, now: Instant, in_flight: usize) -> Vec<LifeAction> {
+    pub fn check_stop(&mut self, now: Instant, in_flight: usize) -> Vec<LifecycleAction> {
         let mut actions = Vec::new();
         match self.stop {
             Stop::WaitingForCalls { since } => {
@@ -212,7 +212,7 @@
         now: Instant,
         since: Instant,
         in_flight: usize,
-        actions: &mut Vec<LifeAction>,
+        actions: &mut Vec<LifecycleAction>,
     ) {
         let waited = now.saturating_duration_since(since);
         let is_over = self
@@ -220,19 +220,19 @@
             .hard_limit
             .is_some_and(|limit| waited >= limit);
         if is_over && in_flight > 0 {
-            actions.push(LifeAction::ReportOverrun { in_flight });
+            actions.push(LifecycleAction::ReportOverrun { in_flight });
         }
-        let waits = self.settings.without != Some(DrainSafeguard::WaitForCalls);
+        let waits = self.settings.disabled_safeguard != Some(DrainSafeguard::WaitForCalls);
         let is_idle = in_flight == 0 || !waits;
-        let is_settled = is_idle && waited >= self.settings.settle;
+        let is_settled = is_idle && waited >= self.settings.min_drain_time;
         if is_over || is_settled {
             self.stop = Stop::HandingOver { since: now };
-            actions.push(LifeAction::HandOver);
+            actions.push(LifecycleAction::HandOver);
         }
     }
 
-    fn publish_changes(&mut self) -> Vec<LifeAction> {
-        let current = Publication {
+    fn publish_changes(&mut self) -> Vec<LifecycleAction> {
+        let current = PublishedState {
             state: self.state(),
             upstream: self.upstream(),
             slots: self.upstream.slots,
@@ -241,6 +241,6 @@
             return Vec::new();
         }
         self.published = current;
-        vec![LifeAction::Publish(current)]
+        vec![LifecycleAction::Publish(current)]
     }
 }
--- a/crates/hemlocktack-fleet/src/handover/receiving.rs
+++ b/crates/hemlocktack-fleet/src/handover/incoming.rs
@@ -70,15 +70,15 @@
 
 /// Tables that are offered to this node and not yet committed to it.
 #[derive(Clone, Debug)]
-pub struct Receiving {
+pub struct IncomingHandovers {
     limits: HandoverLimits,
     offers: HashMap<OfferKey, Offer>,
 }
 
-impl Receiving {
+impl IncomingHandovers {
     /// For one start of a node.
-    pub fn new(limits: HandoverLimits) -> Receiving {
-        Receiving {
+    pub fn new(limits: HandoverLimits) -> IncomingHandovers {
+        IncomingHandovers {
             limits,
             offers: HashMap::new(),
         }
@@ -88,7 +88,7 @@
     ///
     /// A part that came before or out of order changes nothing: the sender
     /// sends the whole table again over a new link.
-    pub fn part(
+    pub fn handle_frame(
         &mut self,
         table: &mut TicketTable,
         from: &NodeIncarnation,
--- a/crates/hemlocktack-fleet/src/handover/leaving.rs
+++ b/crates/hemlocktack-fleet/src/handover/outgoing.rs
@@ -8,7 +8,7 @@
 
 /// What to do after a `HandoverAccepted` frame.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Progress {
+pub enum HandoverProgress {
     /// Nothing yet, or the frame was not of this handover.
     Waiting,
     /// Every table was accepted: send these to the same successor.
@@ -34,19 +34,19 @@
 
 /// A handover in progress.
 #[derive(Clone, Debug)]
-pub struct Leaving {
+pub struct OutgoingHandover {
     homes: Vec<NodeIncarnation>,
     parts: Vec<Handover>,
     stage: Stage,
 }
 
-impl Leaving {
+impl OutgoingHandover {
     /// Freezes the table: it starts nothing from now on, whatever becomes of
     /// the handover.
-    pub fn begin(table: &mut TicketTable) -> Leaving {
+    pub fn begin(table: &mut TicketTable) -> OutgoingHandover {
         let homes = table.homes().cloned().collect();
         let parts = table.freeze().into_iter().flat_map(to_parts).collect();
-        Leaving {
+        OutgoingHandover {
             homes,
             parts,
             stage: Stage::NotOffered,
@@ -89,10 +89,14 @@
     }
 
     /// Takes in a `HandoverAccepted` frame of the node that sent it.
-    pub fn accepted(&mut self, from: &NodeIncarnation, frame: &HandoverAccepted) -> Progress {
+    pub fn handle_accepted(
+        &mut self,
+        from: &NodeIncarnation,
+        frame: &HandoverAccepted,
+    ) -> HandoverProgress {
         let home = NodeIncarnation::new(&*frame.home_node_id, frame.home_incarnation);
         if !self.homes.contains(&home) {
-            return Progress::Waiting;
+            return HandoverProgress::Waiting;
         }
         if frame.refused {
             return self.refused(from);
@@ -106,30 +110,30 @@
                 successor,
                 accepted,
             } if frame.committed => (successor, accepted),
-            _ => return Progress::Waiting,
+            _ => return HandoverProgress::Waiting,
         };
         if successor != from || accepted.contains(&home) {
-            return Progress::Waiting;
+            return HandoverProgress::Waiting;
         }
         accepted.push(home);
         if accepted.len() < self.homes.len() {
-            return Progress::Waiting;
+            return HandoverProgress::Waiting;
         }
         if frame.committed {
-            return Progress::Finished;
+            return HandoverProgress::Finished;
         }
         let successor = successor.clone();
         self.stage = Stage::Committed {
             successor,
             accepted: Vec::new(),
         };
-        Progress::Commit(self.commit())
+        HandoverProgress::Commit(self.commit())
     }
 
-    fn refused(&self, from: &NodeIncarnation) -> Progress {
+    fn refused(&self, from: &NodeIncarnation) -> HandoverProgress {
         match &self.stage {
-            Stage::Offered { successor, .. } if successor == from => Progress::Refused,
-            _ => Progress::Waiting,
+            Stage::Offered { successor, .. } if successor == from => HandoverProgress::Refused,
+            _ => HandoverProgress::Waiting,
         }
     }
 
--- a/crates/hemlocktack-fleet/src/handover/parts.rs
+++ b/crates/hemlocktack-fleet/src/handover/parts.rs
@@ -7,7 +7,7 @@
 use prost::Message;
 
 use crate::peer::NodeIncarnation;
-use crate::tickets::{End, Nonce, TransferEntry, TransferTable};
+use crate::tickets::{Nonce, TicketOutcome, TransferEntry, TransferTable};
 
 // Well under any frame limit, and many links' other frames fit in between.
 const PART_LIMIT_BYTES: usize = 256 << 10;
@@ -71,9 +71,9 @@
 
 fn to_frame(entry: TransferEntry) -> HandoverEntry {
     let progress = match entry.end {
-        End::Answered => TicketProgress::Answered,
-        End::NotRun(_) => TicketProgress::Fenced,
-        End::Unknown(_) => TicketProgress::Started,
+        TicketOutcome::Answered => TicketProgress::Answered,
+        TicketOutcome::NotRun(_) => TicketProgress::Fenced,
+        TicketOutcome::Unknown(_) => TicketProgress::Started,
     };
     HandoverEntry {
         nonce: Bytes::copy_from_slice(&entry.nonce.to_be_bytes()),
@@ -88,12 +88,15 @@
 pub(crate) fn from_frame(entry: HandoverEntry) -> Option<TransferEntry> {
     let nonce: [u8; size_of::<Nonce>()] = entry.nonce.as_ref().try_into().ok()?;
     let end = match entry.progress() {
-        TicketProgress::Answered => End::Answered,
-        TicketProgress::Fenced => End::NotRun(Reason::Fenced),
-        TicketProgress::Started => End::Unknown(Reason::HomeGone),
+        TicketProgress::Answered => TicketOutcome::Answered,
+        TicketProgress::Fenced => TicketOutcome::NotRun(Reason::Fenced),
+        TicketProgress::Started => TicketOutcome::Unknown(Reason::HomeGone),
         TicketProgress::Unspecified => return None,
     };
-    let answer = entry.answer.filter(|_| end == End::Answered).map(Arc::new);
+    let answer = entry
+        .answer
+        .filter(|_| end == TicketOutcome::Answered)
+        .map(Arc::new);
     let nonce = Nonce::from_be_bytes(nonce);
     Some(TransferEntry {
         nonce,
--- a/crates/hemlocktack-fleet/src/membership/machine.rs
+++ b/crates/hemlocktack-fleet/src/membership/machine.rs
@@ -11,13 +11,13 @@
 use super::news::News;
 use super::probes::Probes;
 use super::record;
-use super::settings::{MembershipSettings, Safeguard};
+use super::settings::{MembershipSafeguard, MembershipSettings};
 use super::table::{self, Entry, Table};
-use crate::drain::Publication;
+use crate::drain::PublishedState;
 
 /// What the runtime has to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Action {
+pub enum MembershipAction {
     /// Send one datagram.
     Send {
         /// Gossip address of the receiver.
@@ -28,12 +28,12 @@
     /// The members or their states changed: take a new snapshot.
     MembersChanged,
     /// Another node of the service found requests that crash upstreams.
-    SuspectsHeard {
+    SuspectsReceived {
         /// What it found.
         suspects: Vec<SuspectRequest>,
     },
     /// A peer has a higher generation in force than this node.
-    GenerationHeard {
+    NewerGenerationSeen {
         /// Peer to pull from.
         node_id: String,
         /// Its generation in force.
@@ -58,7 +58,7 @@
 
 impl Peer {
     /// Whether new calls may be placed on it.
-    pub fn takes_new_work(&self) -> bool {
+    pub fn accepts_new_calls(&self) -> bool {
         let upstream = self.member.upstream();
         self.state == NodeState::Ready
             && matches!(upstream, UpstreamState::Cold | UpstreamState::Ready)
@@ -110,7 +110,7 @@
     /// one node id's starts and is raised if it does not.
     pub fn new(settings: MembershipSettings, mut own: Member, now: Instant) -> Self {
         own.version = own.version.max(1);
-        if !settings.keeps(Safeguard::StartOrder) {
+        if !settings.keeps(MembershipSafeguard::StartOrder) {
             own.start_order = 0;
         }
         let mut news = News::new(own.incarnation);
@@ -181,7 +181,11 @@
 
     /// Says something new of this node. News of leaving goes to several peers
     /// at once; everything else rides on the next datagrams.
-    pub fn update_own(&mut self, publication: Publication, rng: &mut impl Rng) -> Vec<Action> {
+    pub fn update_own(
+        &mut self,
+        publication: PublishedState,
+        rng: &mut impl Rng,
+    ) -> Vec<MembershipAction> {
         let was_leaving = record::is_leaving(&self.own);
         self.own.state = publication.state.into();
         self.own.upstream = publication.upstream.into();
@@ -203,7 +207,7 @@
         epoch: u64,
         successions: Vec<Succession>,
         rng: &mut impl Rng,
-    ) -> Vec<Action> {
+    ) -> Vec<MembershipAction> {
         let mut actions = Vec::new();
         let has_taken_over = self.own.successions != successions;
         if self.own.ticket_epoch == epoch && !has_taken_over {
@@ -221,7 +225,11 @@
     /// Takes note of the generation in force here and tells several peers at
     /// once. Without that a change would take a probe period for each doubling
     /// of the nodes that have it.
-    pub fn set_generation(&mut self, generation: Generation, rng: &mut impl Rng) -> Vec<Action> {
+    pub fn set_generation(
+        &mut self,
+        generation: Generation,
+        rng: &mut impl Rng,
+    ) -> Vec<MembershipAction> {
         let mut actions = Vec::new();
         if generation > self.generation {
             self.generation = generation;
@@ -233,7 +241,7 @@
     /// Tells the other nodes of this service about requests that crash
     /// upstreams: they run the same ones next. A service is small, whatever
     /// the fleet's size; the limit holds if it is not.
-    pub fn tell_suspects(&mut self, suspects: &[SuspectRequest]) -> Vec<Action> {
+    pub fn send_suspects(&mut self, suspects: &[SuspectRequest]) -> Vec<MembershipAction> {
         const TOLD_LIMIT: usize = 32;
         const SUSPECTS_LIMIT: usize = 16;
         let is_told = |entry: &&Entry| entry.member.service == self.own.service;
@@ -243,7 +251,7 @@
         let sends = told.map(|to| {
             let mut gossip = self.empty_datagram(None);
             gossip.suspects = suspects.iter().copied().take(SUSPECTS_LIMIT).collect();
-            Action::Send {
+            MembershipAction::Send {
                 to,
                 gossip: Box::new(gossip),
             }
--- a/crates/hemlocktack-fleet/src/membership/mod.rs
+++ b/crates/hemlocktack-fleet/src/membership/mod.rs
@@ -14,5 +14,5 @@
 mod urgent;
 
 pub use datagram::{DatagramError, open_datagram, seal_datagram};
-pub use machine::{Action, Membership, Peer};
-pub use settings::{MembershipSettings, NODE_ID_LIMIT_BYTES, Safeguard};
+pub use machine::{Membership, MembershipAction, Peer};
+pub use settings::{MembershipSafeguard, MembershipSettings, NODE_ID_LIMIT_BYTES};
--- a/crates/hemlocktack-fleet/src/membership/outgoing.rs
+++ b/crates/hemlocktack-fleet/src/membership/outgoing.rs
@@ -5,9 +5,9 @@
 use hemlocktack_protocol::{Gossip, Member, gossip};
 use prost::Message;
 
-use super::machine::{Action, Membership};
+use super::machine::{Membership, MembershipAction};
 use super::news::tellings_limit;
-use super::settings::Safeguard;
+use super::settings::MembershipSafeguard;
 
 impl Membership {
     /// Adds a datagram: first the given records, then as much other news as
@@ -17,12 +17,12 @@
         to: SocketAddr,
         body: Option<gossip::Body>,
         first: &[Member],
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<MembershipAction>,
     ) {
         let (mut gossip, room) = self.datagram(body, first);
         self.fill_with_news(&mut gossip, room);
         let gossip = Box::new(gossip);
-        actions.push(Action::Send { to, gossip });
+        actions.push(MembershipAction::Send { to, gossip });
     }
 
     /// Adds a datagram with nothing but the given records.
@@ -31,11 +31,11 @@
         to: SocketAddr,
         body: Option<gossip::Body>,
         first: &[Member],
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<MembershipAction>,
     ) {
         let (gossip, _) = self.datagram(body, first);
         let gossip = Box::new(gossip);
-        actions.push(Action::Send { to, gossip });
+        actions.push(MembershipAction::Send { to, gossip });
     }
 
     /// A datagram with the given records, and the room that is left in it.
@@ -99,7 +99,7 @@
         let entry = self.table.get(node_id)?;
         let age = self.now.saturating_duration_since(entry.since);
         let is_old = entry.is_accused() && age >= self.suspicion_timeout();
-        let keeps = self.settings.keeps(Safeguard::AccusationAge);
+        let keeps = self.settings.keeps(MembershipSafeguard::AccusationAge);
         (!is_old || !keeps).then(|| entry.belief())
     }
 }
--- a/crates/hemlocktack-fleet/src/membership/receive.rs
+++ b/crates/hemlocktack-fleet/src/membership/receive.rs
@@ -8,11 +8,11 @@
 };
 use rand::Rng;
 
-use super::machine::{Action, Membership, Sweep};
+use super::machine::{Membership, MembershipAction, Sweep};
 use super::outgoing::put_record;
 use super::probes::Relayed;
 use super::record::{self, Freshness};
-use super::settings::{NODE_ID_LIMIT_BYTES, Safeguard};
+use super::settings::{MembershipSafeguard, NODE_ID_LIMIT_BYTES};
 use super::table::Merged;
 
 /// Tables that a starting node reads, each of another member.
@@ -26,7 +26,7 @@
         from: SocketAddr,
         mut gossip: Gossip,
         rng: &mut impl Rng,
-    ) -> Vec<Action> {
+    ) -> Vec<MembershipAction> {
         let mut actions = Vec::new();
         self.now = now;
         if gossip.from_node_id == self.own.node_id
@@ -41,7 +41,7 @@
         self.hear_generation(&gossip, &mut actions);
         if !gossip.suspects.is_empty() {
             let suspects = std::mem::take(&mut gossip.suspects);
-            actions.push(Action::SuspectsHeard { suspects });
+            actions.push(MembershipAction::SuspectsReceived { suspects });
         }
         self.correct_sender(&gossip, &mut corrections);
         self.compare_digest(from, &gossip, &mut actions);
@@ -58,7 +58,7 @@
         records: Vec<Member>,
         is_page: bool,
         corrections: &mut Vec<Member>,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<MembershipAction>,
         rng: &mut impl Rng,
     ) {
         let mut urgent = Vec::new();
@@ -83,7 +83,7 @@
             }
         }
         if changed {
-            actions.push(Action::MembersChanged);
+            actions.push(MembershipAction::MembersChanged);
         }
         if !urgent.is_empty() {
             self.pass_on_at_once(urgent, actions, rng);
@@ -102,7 +102,7 @@
         &mut self,
         heard: Member,
         corrections: &mut Vec<Member>,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<MembershipAction>,
     ) {
         let same_start = heard.incarnation == self.own.incarnation;
         let is_accusation = record::is_accusation(&heard);
@@ -119,13 +119,13 @@
             self.refute(&heard, corrections);
             return;
         }
-        if !self.settings.keeps(Safeguard::StartOrder) {
+        if !self.settings.keeps(MembershipSafeguard::StartOrder) {
             return;
         }
         let is_elsewhere = !is_accusation && heard.gossip_address != self.own.gossip_address;
         let is_gone = heard.state() == NodeState::Left;
         if is_elsewhere && !is_gone && self.joined {
-            actions.push(Action::Superseded {
+            actions.push(MembershipAction::Superseded {
                 by: heard.incarnation,
             });
             return;
@@ -136,7 +136,7 @@
     }
 
     fn refute(&mut self, heard: &Member, corrections: &mut Vec<Member>) {
-        if !self.settings.keeps(Safeguard::Refutation) {
+        if !self.settings.keeps(MembershipSafeguard::Refutation) {
             return;
         }
         self.own.version = heard.version;
@@ -144,9 +144,9 @@
         corrections.push(self.own.clone());
     }
 
-    fn hear_generation(&self, gossip: &Gossip, actions: &mut Vec<Action>) {
+    fn hear_generation(&self, gossip: &Gossip, actions: &mut Vec<MembershipAction>) {
         if gossip.generation_in_force > self.generation {
-            actions.push(Action::GenerationHeard {
+            actions.push(MembershipAction::NewerGenerationSeen {
                 node_id: gossip.from_node_id.clone(),
                 generation: gossip.generation_in_force,
             });
@@ -173,8 +173,13 @@
     /// Begins a comparison with a sender whose table differs: with the first
     /// page at once where none was pulled lately, since a node that comes back
     /// from a cut has to learn soon who has left meanwhile.
-    fn compare_digest(&mut self, from: SocketAddr, gossip: &Gossip, actions: &mut Vec<Action>) {
-        let wanted = self.settings.keeps(Safeguard::AntiEntropy);
+    fn compare_digest(
+        &mut self,
+        from: SocketAddr,
+        gossip: &Gossip,
+        actions: &mut Vec<MembershipAction>,
+    ) {
+        let wanted = self.settings.keeps(MembershipSafeguard::AntiEntropy);
         if !wanted || self.sweep.is_some() || gossip.table_digest == self.digest() {
             return;
         }
@@ -193,7 +198,7 @@
         from: SocketAddr,
         gossip: Gossip,
         corrections: Vec<Member>,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<MembershipAction>,
     ) {
         match gossip.body {
             Some(gossip::Body::Probe(probe)) => {
@@ -218,7 +223,7 @@
         }
     }
 
-    fn take_ack(&mut self, ack: &ProbeAck, actions: &mut Vec<Action>) {
+    fn take_ack(&mut self, ack: &ProbeAck, actions: &mut Vec<MembershipAction>) {
         let pending = self.probes.pending.as_ref();
         let is_answer = pending.is_some_and(|pending| {
             pending.sequence == ack.sequence && pending.node_id == ack.of_node_id
@@ -237,7 +242,12 @@
         self.send(relayed.asker, Some(gossip::Body::Ack(ack)), &[], actions);
     }
 
-    fn probe_for(&mut self, asker: SocketAddr, asked: IndirectProbe, actions: &mut Vec<Action>) {
+    fn probe_for(
+        &mut self,
+        asker: SocketAddr,
+        asked: IndirectProbe,
+        actions: &mut Vec<MembershipAction>,
+    ) {
         let Some(entry) = self.table.get(&asked.target_node_id) else {
             return;
         };
@@ -268,7 +278,7 @@
         from: SocketAddr,
         pull: &SyncPull,
         corrections: &[Member],
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<MembershipAction>,
     ) {
         if self.pages_given >= self.settings.page_limit {
             return;
@@ -296,14 +306,14 @@
         }
         gossip.body = Some(gossip::Body::SyncPage(page));
         let gossip = Box::new(gossip);
-        actions.push(Action::Send { to: from, gossip });
+        actions.push(MembershipAction::Send { to: from, gossip });
     }
 
     /// Failure: a node starts between cuts, and the one whose table it reads had
     /// not heard yet that others left. Symptom: seconds after all faults have
     /// ended it still places calls on them. Whoever has heard passes the news on
     /// for a few periods only, so a second table is read, of another member.
-    fn take_page(&mut self, from: SocketAddr, page: SyncPage, actions: &mut Vec<Action>) {
+    fn take_page(&mut self, from: SocketAddr, page: SyncPage, actions: &mut Vec<MembershipAction>) {
         let Some(sweep) = &mut self.sweep else {
             return;
         };
@@ -326,7 +336,7 @@
         }
     }
 
-    pub(super) fn pull_page(&mut self, actions: &mut Vec<Action>) {
+    pub(super) fn pull_page(&mut self, actions: &mut Vec<MembershipAction>) {
         let Some(sweep) = &self.sweep else {
             return;
         };
--- a/crates/hemlocktack-fleet/src/membership/settings.rs
+++ b/crates/hemlocktack-fleet/src/membership/settings.rs
@@ -11,7 +11,7 @@
 /// A node never does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, EnumIter, EnumString)]
 #[strum(serialize_all = "kebab-case")]
-pub enum Safeguard {
+pub enum MembershipSafeguard {
     /// Ask others before a silent member is suspected.
     IndirectProbes,
     /// A suspected member may answer with a higher version.
@@ -68,7 +68,7 @@
     /// Datagrams of urgent news in one probe period, at most.
     pub urgent_limit: u32,
     /// Rule that a mutation run leaves out.
-    pub without: Option<Safeguard>,
+    pub disabled_safeguard: Option<MembershipSafeguard>,
 }
 
 impl Default for MembershipSettings {
@@ -88,13 +88,13 @@
             mac_bytes: 32,
             urgent_fanout: 4,
             urgent_limit: 16,
-            without: None,
+            disabled_safeguard: None,
         }
     }
 }
 
 impl MembershipSettings {
-    pub(crate) fn keeps(&self, safeguard: Safeguard) -> bool {
-        self.without != Some(safeguard)
+    pub(crate) fn keeps(&self, safeguard: MembershipSafeguard) -> bool {
+        self.disabled_safeguard != Some(safeguard)
     }
 }
--- a/crates/hemlocktack-fleet/src/membership/tick.rs
+++ b/crates/hemlocktack-fleet/src/membership/tick.rs
@@ -7,9 +7,9 @@
 use rand::Rng;
 use rand::seq::IteratorRandom;
 
-use super::machine::{Action, Membership, Sweep};
+use super::machine::{Membership, MembershipAction, Sweep};
 use super::probes::Pending;
-use super::settings::Safeguard;
+use super::settings::MembershipSafeguard;
 
 /// Periods without an answer after which a node that finds nobody takes itself
 /// for the first of the fleet.
@@ -21,7 +21,7 @@
 
 impl Membership {
     /// To be called every tenth of a period or so.
-    pub fn tick(&mut self, now: Instant, rng: &mut impl Rng) -> Vec<Action> {
+    pub fn tick(&mut self, now: Instant, rng: &mut impl Rng) -> Vec<MembershipAction> {
         let mut actions = Vec::new();
         self.now = now;
         self.forgive_own_pause(now);
@@ -35,13 +35,18 @@
         actions
     }
 
-    fn begin_period(&mut self, now: Instant, actions: &mut Vec<Action>, rng: &mut impl Rng) {
+    fn begin_period(
+        &mut self,
+        now: Instant,
+        actions: &mut Vec<MembershipAction>,
+        rng: &mut impl Rng,
+    ) {
         self.pages_given = 0;
         self.urgent_sent = 0;
         self.conclude_probe(now, actions);
         self.declare_dead(now, actions);
         let (age, limit) = (self.settings.tombstone_age, self.settings.tombstone_limit);
-        let age = match self.settings.keeps(Safeguard::Tombstones) {
+        let age = match self.settings.keeps(MembershipSafeguard::Tombstones) {
             true => age,
             false => Duration::ZERO,
         };
@@ -60,11 +65,11 @@
         let gap = now.saturating_duration_since(self.last_tick);
         self.last_tick = now;
         let was_paused = gap > self.settings.probe_period * PAUSE_PERIODS;
-        if was_paused && self.settings.keeps(Safeguard::OwnPause) {
+        if was_paused && self.settings.keeps(MembershipSafeguard::OwnPause) {
             self.probes.pending = None;
             self.table.extend_suspicions(gap);
         }
-        if was_paused && self.settings.keeps(Safeguard::ReadAfterPause) {
+        if was_paused && self.settings.keeps(MembershipSafeguard::ReadAfterPause) {
             self.sweep = None;
             self.reading_since = Some(now);
             self.read_from.clear();
@@ -73,9 +78,14 @@
 
     /// Where a direct probe stays unanswered, others try: one bad path between
     /// two nodes must not take a member from everybody's view.
-    fn ask_others(&mut self, now: Instant, actions: &mut Vec<Action>, rng: &mut impl Rng) {
+    fn ask_others(
+        &mut self,
+        now: Instant,
+        actions: &mut Vec<MembershipAction>,
+        rng: &mut impl Rng,
+    ) {
         let timeout = self.settings.direct_timeout;
-        let wanted = self.settings.keeps(Safeguard::IndirectProbes);
+        let wanted = self.settings.keeps(MembershipSafeguard::IndirectProbes);
         let Some(pending) = &mut self.probes.pending else {
             return;
         };
@@ -100,7 +110,7 @@
         }
     }
 
-    fn conclude_probe(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    fn conclude_probe(&mut self, now: Instant, actions: &mut Vec<MembershipAction>) {
         let Some(pending) = self.probes.pending.take() else {
             return;
         };
@@ -113,7 +123,7 @@
         }
         self.table.judge(now, &pending.node_id, NodeState::Suspect);
         self.news.push(&pending.node_id);
-        actions.push(Action::MembersChanged);
+        actions.push(MembershipAction::MembersChanged);
     }
 
     /// Time for a suspected member to hear of it and for its answer to spread:
@@ -124,7 +134,7 @@
         self.settings.probe_period * (self.settings.suspicion_periods + doublings)
     }
 
-    fn declare_dead(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    fn declare_dead(&mut self, now: Instant, actions: &mut Vec<MembershipAction>) {
         let timeout = self.suspicion_timeout();
         let expired: Vec<String> = self
             .table
@@ -135,11 +145,16 @@
             .collect();
         for node_id in expired {
             self.table.judge(now, &node_id, NodeState::Dead);
-            actions.push(Action::MembersChanged);
+            actions.push(MembershipAction::MembersChanged);
         }
     }
 
-    fn probe_next(&mut self, now: Instant, actions: &mut Vec<Action>, rng: &mut impl Rng) {
+    fn probe_next(
+        &mut self,
+        now: Instant,
+        actions: &mut Vec<MembershipAction>,
+        rng: &mut impl Rng,
+    ) {
         let far_interval = self.settings.far_probe_interval;
         let data_centre = &self.own.data_centre;
         let target = self
@@ -150,7 +165,13 @@
         }
     }
 
-    fn probe(&mut self, now: Instant, node_id: &str, is_retry: bool, actions: &mut Vec<Action>) {
+    fn probe(
+        &mut self,
+        now: Instant,
+        node_id: &str,
+        is_retry: bool,
+        actions: &mut Vec<MembershipAction>,
+    ) {
         let Some(entry) = self.table.get(node_id) else {
             return;
         };
@@ -182,8 +203,8 @@
     /// Tries one dead member or one unknown seed now and then. Without this
     /// two regions that lost each other for longer than a suspicion lasts
     /// would each go on alone for ever.
-    fn try_lost(&mut self, now: Instant, actions: &mut Vec<Action>, rng: &mut impl Rng) {
-        if now < self.next_retry || !self.settings.keeps(Safeguard::DeadRetry) {
+    fn try_lost(&mut self, now: Instant, actions: &mut Vec<MembershipAction>, rng: &mut impl Rng) {
+        if now < self.next_retry || !self.settings.keeps(MembershipSafeguard::DeadRetry) {
             return;
         }
         self.next_retry = now + self.settings.dead_retry_period;
@@ -203,7 +224,7 @@
     /// callers are refused for want of an upstream that stands idle. A page
     /// behind the last name holds nothing but its giver's own record, so this
     /// costs a datagram each way for each seed, once a start.
-    fn ask_seeds(&mut self, actions: &mut Vec<Action>) {
+    fn ask_seeds(&mut self, actions: &mut Vec<MembershipAction>) {
         if !std::mem::take(&mut self.asks_seeds) || self.reading_since.is_none() {
             return;
         }
@@ -233,7 +254,7 @@
         self.seeds.iter().copied().filter(is_unknown).collect()
     }
 
-    fn greet(&mut self, seed: SocketAddr, actions: &mut Vec<Action>) {
+    fn greet(&mut self, seed: SocketAddr, actions: &mut Vec<MembershipAction>) {
         let sequence = self.probes.next_sequence();
         let body = gossip::Body::Probe(Probe {
             sequence,
@@ -243,7 +264,7 @@
         self.send_without_news(seed, Some(body), &[own], actions);
     }
 
-    fn continue_sweep(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    fn continue_sweep(&mut self, now: Instant, actions: &mut Vec<MembershipAction>) {
         if self.reading_since.is_some() || now < self.next_sync {
             return;
         }
@@ -270,7 +291,12 @@
     /// Reads a whole table from a live member or a seed; from another one if a
     /// page does not come soon, since a node that was paused for long knows
     /// many that are gone.
-    fn read_table(&mut self, now: Instant, actions: &mut Vec<Action>, rng: &mut impl Rng) {
+    fn read_table(
+        &mut self,
+        now: Instant,
+        actions: &mut Vec<MembershipAction>,
+        rng: &mut impl Rng,
+    ) {
         let Some(since) = self.reading_since else {
             return;
         };
--- a/crates/hemlocktack-fleet/src/membership/urgent.rs
+++ b/crates/hemlocktack-fleet/src/membership/urgent.rs
@@ -7,8 +7,8 @@
 use rand::Rng;
 use rand::seq::IteratorRandom;
 
-use super::machine::{Action, Membership};
-use super::settings::Safeguard;
+use super::machine::{Membership, MembershipAction};
+use super::settings::MembershipSafeguard;
 use super::table::Entry;
 
 impl Membership {
@@ -20,7 +20,7 @@
     pub(super) fn tell_at_once(
         &mut self,
         records: Vec<Member>,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<MembershipAction>,
         rng: &mut impl Rng,
     ) {
         let mut targets = self.far_targets(rng);
@@ -33,7 +33,7 @@
     pub(super) fn pass_on_at_once(
         &mut self,
         records: Vec<Member>,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<MembershipAction>,
         rng: &mut impl Rng,
     ) {
         let fanout = self.settings.urgent_fanout;
@@ -46,9 +46,9 @@
         &mut self,
         targets: &[SocketAddr],
         records: &[Member],
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<MembershipAction>,
     ) {
-        if !self.settings.keeps(Safeguard::UrgentNews) {
+        if !self.settings.keeps(MembershipSafeguard::UrgentNews) {
             return;
         }
         for to in targets {
--- a/crates/hemlocktack-fleet/src/tickets/children.rs
+++ b/crates/hemlocktack-fleet/src/tickets/children.rs
@@ -31,7 +31,7 @@
     Foreign,
     /// Key too long, or too many keys under one parent.
     #[display("the key is too long or the parent has too many")]
-    TooMuch,
+    LimitExceeded,
     /// No node of the service is known.
     #[display("no home is known for the service")]
     NoHome,
@@ -43,7 +43,7 @@
         match self {
             ChildRefusal::KeyRequired | ChildRefusal::ParentIdempotent => Reason::TicketRequired,
             ChildRefusal::Foreign => Reason::TicketForeign,
-            ChildRefusal::TooMuch => Reason::TicketMalformed,
+            ChildRefusal::LimitExceeded => Reason::TicketMalformed,
             ChildRefusal::NoHome => Reason::NoUpstream,
         }
     }
@@ -78,7 +78,7 @@
 
 impl ChildCalls {
     /// For a parent that runs at most once under a ticket.
-    pub fn of_ticketed(parent_nonce: Nonce) -> ChildCalls {
+    pub fn for_ticketed_parent(parent_nonce: Nonce) -> ChildCalls {
         ChildCalls {
             parent_nonce: Some(parent_nonce),
             tickets: HashMap::new(),
@@ -86,7 +86,7 @@
     }
 
     /// For a parent that may be repeated.
-    pub fn of_idempotent() -> ChildCalls {
+    pub fn for_idempotent_parent() -> ChildCalls {
         ChildCalls {
             parent_nonce: None,
             tickets: HashMap::new(),
@@ -117,7 +117,7 @@
             return Err(ChildRefusal::ParentIdempotent);
         };
         if key.len() > KEY_LIMIT_BYTES {
-            return Err(ChildRefusal::TooMuch);
+            return Err(ChildRefusal::LimitExceeded);
         }
         let child = ChildKey {
             service: service.clone(),
@@ -127,7 +127,7 @@
             return Ok(ticket.clone());
         }
         if self.tickets.len() >= CHILDREN_LIMIT {
-            return Err(ChildRefusal::TooMuch);
+            return Err(ChildRefusal::LimitExceeded);
         }
         let ChildHome { home, epoch } = choose_home().ok_or(ChildRefusal::NoHome)?;
         let nonce = child_nonce(keys, parent_nonce, service, key);
--- a/crates/hemlocktack-fleet/src/tickets/record.rs
+++ b/crates/hemlocktack-fleet/src/tickets/record.rs
@@ -10,7 +10,7 @@
 
 /// How a ticket's request ended. It never changes again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum TicketOutcome {
     /// The upstream answered in whole; the answer may have been dropped since.
     Answered,
     /// Fenced: it was not started and never will be.
@@ -21,7 +21,7 @@
 
 /// The table holds the ticket in a state that does not allow the step.
 ///
-/// A node that sees this after [`crate::tickets::TicketTable::started`] or
+/// A node that sees this after [`crate::tickets::TicketTable::mark_started`] or
 /// [`crate::tickets::TicketTable::delegate`] must not send the request on.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 #[display("the ticket's state does not allow this step")]
@@ -33,7 +33,7 @@
     // Boxed: few records are in this state at a time, and the record stays small.
     Delegated(Box<NodeIncarnation>),
     Started,
-    Ended(End),
+    Ended(TicketOutcome),
 }
 
 #[derive(Clone, Debug)]
--- a/crates/hemlocktack-fleet/src/tickets/start.rs
+++ b/crates/hemlocktack-fleet/src/tickets/start.rs
@@ -5,7 +5,7 @@
 use hemlocktack_protocol::{Answer, Fingerprint, Reason, Refusal, Unfinished};
 
 use crate::tickets::epochs::{EpochAge, EpochWindow};
-use crate::tickets::record::{End, Record, State};
+use crate::tickets::record::{Record, State, TicketOutcome};
 use crate::tickets::table::{Phase, TicketTable};
 use crate::tickets::ticket::Ticket;
 
@@ -15,7 +15,7 @@
 
 /// What the home does with a call that came with a ticket.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Start {
+pub enum StartDecision {
     /// First of its ticket: admit it; it is queued now.
     Run,
     /// It is queued or running: wait for the same end.
@@ -33,7 +33,7 @@
     ///
     /// The first send binds the ticket to its request. A caller that uses the
     /// ticket for another one would otherwise get the answer of the first.
-    pub fn start(&mut self, ticket: &Ticket, fingerprint: Fingerprint) -> Start {
+    pub fn start(&mut self, ticket: &Ticket, fingerprint: Fingerprint) -> StartDecision {
         self.purge(PURGED_PER_START);
         let window = self.homes.iter().find(|window| window.home == ticket.home);
         if let Some(record) = self.records.get(&ticket.nonce) {
@@ -42,16 +42,16 @@
         // Another start of this node may have run it; so may a home whose
         // table was dropped here.
         let Some(window) = window else {
-            return Start::Refused(Unfinished::Unknown(Reason::HomeGone));
+            return StartDecision::Refused(Unfinished::Unknown(Reason::HomeGone));
         };
         match window.age(ticket.epoch) {
             EpochAge::Kept => {}
             // Its record may have gone with its epoch.
             EpochAge::Expired => {
-                return Start::Refused(Unfinished::Unknown(Reason::TicketExpired));
+                return StartDecision::Refused(Unfinished::Unknown(Reason::TicketExpired));
             }
             EpochAge::NotReached => {
-                return Start::Refused(Unfinished::Unknown(Reason::TicketForeign));
+                return StartDecision::Refused(Unfinished::Unknown(Reason::TicketForeign));
             }
         }
         let record = |state| Record {
@@ -64,18 +64,18 @@
             Phase::Accepting => {
                 let record = record(State::Queued);
                 self.insert(ticket.nonce, record);
-                Start::Run
+                StartDecision::Run
             }
             // The caller will be told `not_run`: an earlier send that is still
             // under way must find the fence, here or at the successor.
             Phase::Stopping => {
-                let record = record(State::Ended(End::NotRun(Reason::Draining)));
+                let record = record(State::Ended(TicketOutcome::NotRun(Reason::Draining)));
                 self.insert(ticket.nonce, record);
-                Start::Refused(not_run(Reason::Draining))
+                StartDecision::Refused(not_run(Reason::Draining))
             }
             // A fence made now would miss the successor. Asking it once it is
             // known is safe: a re-send of the same ticket always is.
-            Phase::Frozen => Start::Refused(Unfinished::Unknown(Reason::Draining)),
+            Phase::Frozen => StartDecision::Refused(Unfinished::Unknown(Reason::Draining)),
         }
     }
 
@@ -85,24 +85,24 @@
         ticket: &Ticket,
         fingerprint: Fingerprint,
         window: Option<&EpochWindow>,
-    ) -> Start {
+    ) -> StartDecision {
         let same_home = window.is_none_or(|window| window.number == record.home_number);
         if record.epoch != ticket.epoch || !same_home {
-            return Start::Refused(Unfinished::Unknown(Reason::TicketForeign));
+            return StartDecision::Refused(Unfinished::Unknown(Reason::TicketForeign));
         }
         if record.fingerprint != fingerprint {
-            return Start::Refused(not_run(Reason::TicketForeign));
+            return StartDecision::Refused(not_run(Reason::TicketForeign));
         }
         let State::Ended(end) = record.state else {
-            return Start::Join;
+            return StartDecision::Join;
         };
         match end {
-            End::Answered => match self.answers.get(&ticket.nonce) {
-                Some(answer) => Start::Answered(answer),
-                None => Start::AnswerNotKept,
+            TicketOutcome::Answered => match self.answers.get(&ticket.nonce) {
+                Some(answer) => StartDecision::Answered(answer),
+                None => StartDecision::AnswerNotKept,
             },
-            End::NotRun(reason) => Start::Refused(not_run(reason)),
-            End::Unknown(reason) => Start::Refused(Unfinished::Unknown(reason)),
+            TicketOutcome::NotRun(reason) => StartDecision::Refused(not_run(reason)),
+            TicketOutcome::Unknown(reason) => StartDecision::Refused(Unfinished::Unknown(reason)),
         }
     }
 }
--- a/crates/hemlocktack-fleet/src/tickets/steps.rs
+++ b/crates/hemlocktack-fleet/src/tickets/steps.rs
@@ -5,7 +5,7 @@
 use hemlocktack_protocol::{Answer, Reason};
 
 use crate::peer::NodeIncarnation;
-use crate::tickets::record::{End, Nonce, State, WrongState};
+use crate::tickets::record::{Nonce, State, TicketOutcome, WrongState};
 use crate::tickets::table::TicketTable;
 
 impl TicketTable {
@@ -26,7 +26,7 @@
     ///
     /// # Errors
     /// [`WrongState`] where the ticket is not in the state that this step needs.
-    pub fn started(&mut self, nonce: Nonce) -> Result<(), WrongState> {
+    pub fn mark_started(&mut self, nonce: Nonce) -> Result<(), WrongState> {
         let state = self.state_mut(nonce)?;
         let State::Queued = state else {
             return Err(WrongState);
@@ -39,7 +39,7 @@
     ///
     /// # Errors
     /// [`WrongState`] where the ticket is not in the state that this step needs.
-    pub fn give_back(&mut self, nonce: Nonce) -> Result<(), WrongState> {
+    pub fn requeue(&mut self, nonce: Nonce) -> Result<(), WrongState> {
         let state = self.state_mut(nonce)?;
         let State::Started = state else {
             return Err(WrongState);
@@ -55,11 +55,7 @@
     ///
     /// # Errors
     /// [`WrongState`] where the ticket is not in the state that this step needs.
-    pub fn give_back_from(
-        &mut self,
-        nonce: Nonce,
-        from: &NodeIncarnation,
-    ) -> Result<(), WrongState> {
+    pub fn requeue_from(&mut self, nonce: Nonce, from: &NodeIncarnation) -> Result<(), WrongState> {
         let state = self.state_mut(nonce)?;
         match state {
             State::Delegated(delegate) if **delegate == *from => *state = State::Queued,
@@ -77,7 +73,7 @@
         let State::Queued = self.state_mut(nonce)? else {
             return Err(WrongState);
         };
-        self.end(nonce, End::NotRun(reason));
+        self.end(nonce, TicketOutcome::NotRun(reason));
         Ok(())
     }
 
@@ -85,10 +81,10 @@
     ///
     /// # Errors
     /// [`WrongState`] where the ticket is not in the state that this step needs.
-    pub fn answer(&mut self, nonce: Nonce, answer: Arc<Answer>) -> Result<(), WrongState> {
+    pub fn record_answer(&mut self, nonce: Nonce, answer: Arc<Answer>) -> Result<(), WrongState> {
         self.expect_may_have_run(nonce)?;
         self.answers.keep(nonce, answer);
-        self.end(nonce, End::Answered);
+        self.end(nonce, TicketOutcome::Answered);
         Ok(())
     }
 
@@ -96,9 +92,9 @@
     ///
     /// # Errors
     /// [`WrongState`] where the ticket is not in the state that this step needs.
-    pub fn give_up(&mut self, nonce: Nonce, reason: Reason) -> Result<(), WrongState> {
+    pub fn record_unknown(&mut self, nonce: Nonce, reason: Reason) -> Result<(), WrongState> {
         self.expect_may_have_run(nonce)?;
-        self.end(nonce, End::Unknown(reason));
+        self.end(nonce, TicketOutcome::Unknown(reason));
         Ok(())
     }
 
--- a/crates/hemlocktack-fleet/src/tickets/table.rs
+++ b/crates/hemlocktack-fleet/src/tickets/table.rs
@@ -7,7 +7,7 @@
 use crate::peer::NodeIncarnation;
 use crate::tickets::epochs::{EpochAge, EpochWindow};
 use crate::tickets::kept_answers::KeptAnswers;
-use crate::tickets::record::{End, Nonce, Record, State};
+use crate::tickets::record::{Nonce, Record, State, TicketOutcome};
 
 const FIRST_EPOCH: u64 = 1;
 const OWN_HOME_NUMBER: u32 = 0;
@@ -57,7 +57,7 @@
 
 /// All that one node incarnation knows of the tickets that it is home of.
 ///
-/// It promises that [`TicketTable::started`] and [`TicketTable::delegate`]
+/// It promises that [`TicketTable::mark_started`] and [`TicketTable::delegate`]
 /// let each ticket's request out to at most one place at a time, and that no
 /// ticket starts again once it has ended or may have run.
 #[derive(Clone, Debug)]
@@ -141,7 +141,7 @@
     }
 
     /// End of a ticket, where it has one.
-    pub fn end_of(&self, nonce: Nonce) -> Option<End> {
+    pub fn outcome_of(&self, nonce: Nonce) -> Option<TicketOutcome> {
         match self.records.get(&nonce)?.state {
             State::Ended(end) => Some(end),
             _ => None,
@@ -204,7 +204,7 @@
         self.expired.extend(expired);
     }
 
-    pub(crate) fn end(&mut self, nonce: Nonce, end: End) {
+    pub(crate) fn end(&mut self, nonce: Nonce, end: TicketOutcome) {
         let Some(record) = self.records.get_mut(&nonce) else {
             return;
         };
--- a/crates/hemlocktack-fleet/src/tickets/ticket.rs
+++ b/crates/hemlocktack-fleet/src/tickets/ticket.rs
@@ -29,14 +29,14 @@
     Foreign,
     /// A service or node name that a ticket cannot carry.
     #[display("a name in a ticket has 1 to {NAME_LIMIT_BYTES} letters, digits, '-', '_' or '.'")]
-    Name,
+    InvalidName,
 }
 
 impl TicketError {
     /// Reason that the caller is told.
     pub fn reason(self) -> Reason {
         match self {
-            TicketError::Malformed | TicketError::Name => Reason::TicketMalformed,
+            TicketError::Malformed | TicketError::InvalidName => Reason::TicketMalformed,
             TicketError::Foreign => Reason::TicketForeign,
         }
     }
@@ -61,7 +61,7 @@
     /// cryptographic generator, or be derived under a key.
     ///
     /// # Errors
-    /// [`TicketError::Name`] for a service or node name that a ticket cannot carry.
+    /// [`TicketError::InvalidName`] for a service or node name that a ticket cannot carry.
     pub fn issue(
         keys: &FleetKeys,
         service: ServiceName,
@@ -70,7 +70,7 @@
         nonce: Nonce,
     ) -> Result<Ticket> {
         if !is_name(&service) || !is_name(&home.node_id) {
-            return Err(TicketError::Name);
+            return Err(TicketError::InvalidName);
         }
         let mut ticket = Ticket {
             service,
--- a/crates/hemlocktack-fleet/src/tickets/transfer.rs
+++ b/crates/hemlocktack-fleet/src/tickets/transfer.rs
@@ -6,7 +6,7 @@
 
 use crate::peer::NodeIncarnation;
 use crate::tickets::epochs::EpochAge;
-use crate::tickets::record::{End, Nonce, Record, State};
+use crate::tickets::record::{Nonce, Record, State, TicketOutcome};
 use crate::tickets::table::{Phase, TicketTable};
 
 /// What the successor must know of one ticket.
@@ -15,7 +15,7 @@
     pub(crate) nonce: Nonce,
     pub(crate) epoch: u64,
     pub(crate) fingerprint: Fingerprint,
-    pub(crate) end: End,
+    pub(crate) end: TicketOutcome,
     pub(crate) answer: Option<Arc<Answer>>,
 }
 
@@ -103,7 +103,7 @@
         let mut nonces: Vec<_> = queued.map(|(nonce, _)| *nonce).collect();
         nonces.sort_unstable();
         for nonce in nonces {
-            self.end(nonce, End::NotRun(Reason::Draining));
+            self.end(nonce, TicketOutcome::NotRun(Reason::Draining));
         }
     }
 
@@ -111,7 +111,7 @@
         let record = self.records.get(&nonce)?;
         let end = match record.state {
             State::Ended(end) => end,
-            _ => End::Unknown(Reason::HomeGone),
+            _ => TicketOutcome::Unknown(Reason::HomeGone),
         };
         let answer = self.answers.get(&nonce);
         Some(TransferEntry {
--- a/crates/hemlocktack-fleet/tests/at_most_once/arrivals.rs
+++ b/crates/hemlocktack-fleet/tests/at_most_once/arrivals.rs
@@ -6,16 +6,16 @@
 fn runs_a_call_once_and_keeps_its_answer() {
     let mut arrivals = Arrivals::new(ArrivalLimits::default());
     let sender = peer("dum-dum-1");
-    assert_eq!(arrivals.arrive(&sender, 5), Arrival::New);
-    assert_eq!(arrivals.arrive(&sender, 5), Arrival::Dropped);
+    assert_eq!(arrivals.record_arrival(&sender, 5), Arrival::New);
+    assert_eq!(arrivals.record_arrival(&sender, 5), Arrival::Dropped);
     assert_eq!(arrivals.resolve(&sender, 5), Resolution::Running);
     arrivals.finish(&sender, 5, Some(answer("booked")));
     assert_eq!(
         arrivals.resolve(&sender, 5),
         Resolution::Finished(answer("booked"))
     );
-    assert_eq!(arrivals.arrive(&sender, 5), Arrival::Dropped);
-    assert_eq!(arrivals.arrive(&peer("howrah-1"), 5), Arrival::New);
+    assert_eq!(arrivals.record_arrival(&sender, 5), Arrival::Dropped);
+    assert_eq!(arrivals.record_arrival(&peer("howrah-1"), 5), Arrival::New);
     arrivals.finish(&peer("howrah-1"), 5, None);
     assert_eq!(
         arrivals.resolve(&peer("howrah-1"), 5),
@@ -31,9 +31,9 @@
     let limits = ArrivalLimits::default();
     let mut arrivals = Arrivals::new(limits);
     let sender = peer("dum-dum-1");
-    assert_eq!(arrivals.arrive(&sender, 0), Arrival::New);
+    assert_eq!(arrivals.record_arrival(&sender, 0), Arrival::New);
     for call_id in 1..=limits.settled_per_sender as u64 {
-        assert_eq!(arrivals.arrive(&sender, call_id), Arrival::New);
+        assert_eq!(arrivals.record_arrival(&sender, call_id), Arrival::New);
         arrivals.finish(&sender, call_id, Some(answer("page")));
     }
     assert_eq!(arrivals.resolve(&sender, 0), Resolution::Running);
@@ -51,7 +51,7 @@
     let mut arrivals = Arrivals::new(ArrivalLimits::default());
     let sender = peer("dum-dum-1");
     assert_eq!(arrivals.resolve(&sender, 3), Resolution::NeverArrived);
-    assert_eq!(arrivals.arrive(&sender, 3), Arrival::Dropped);
+    assert_eq!(arrivals.record_arrival(&sender, 3), Arrival::Dropped);
     assert_eq!(arrivals.resolve(&sender, 3), Resolution::NeverArrived);
     assert_eq!(arrivals.counts().fenced, 1);
 }
@@ -69,12 +69,12 @@
     let mut arrivals = Arrivals::new(limits);
     let sender = peer("dum-dum-1");
     for call_id in 0..20 {
-        assert_eq!(arrivals.arrive(&sender, call_id), Arrival::New);
+        assert_eq!(arrivals.record_arrival(&sender, call_id), Arrival::New);
         arrivals.finish(&sender, call_id, Some(answer("booked")));
         arrivals.assert_consistent();
     }
     assert_eq!(arrivals.resolve(&sender, 3), Resolution::Forgotten);
-    assert_eq!(arrivals.arrive(&sender, 3), Arrival::Dropped);
+    assert_eq!(arrivals.record_arrival(&sender, 3), Arrival::Dropped);
     assert_eq!(
         arrivals.resolve(&sender, 19),
         Resolution::Finished(answer("booked"))
@@ -82,14 +82,14 @@
     assert_eq!(arrivals.resolve(&sender, 20), Resolution::NeverArrived);
 
     for other in ["howrah-1", "howrah-2"] {
-        arrivals.arrive(&peer(other), 1);
+        arrivals.record_arrival(&peer(other), 1);
     }
     assert_eq!(arrivals.resolve(&sender, 19), Resolution::Forgotten);
-    assert_eq!(arrivals.arrive(&sender, 20), Arrival::Dropped);
-    assert_eq!(arrivals.arrive(&sender, 21), Arrival::New);
+    assert_eq!(arrivals.record_arrival(&sender, 20), Arrival::Dropped);
+    assert_eq!(arrivals.record_arrival(&sender, 21), Arrival::New);
 
     for other in ["howrah-3", "howrah-4", "howrah-5"] {
-        arrivals.arrive(&peer(other), 1);
+        arrivals.record_arrival(&peer(other), 1);
         arrivals.assert_consistent();
     }
     assert_eq!(arrivals.resolve(&sender, 30), Resolution::Forgotten);
--- a/crates/hemlocktack-fleet/tests/at_most_once/children.rs
+++ b/crates/hemlocktack-fleet/tests/at_most_once/children.rs
@@ -15,7 +15,7 @@
 // would choose another home. Two homes would each start the payment.
 #[test]
 fn one_child_keeps_its_home() {
-    let mut children = ChildCalls::of_ticketed(1);
+    let mut children = ChildCalls::for_ticketed_parent(1);
     let service = ServiceName::from("payments");
     let mut ticket_for = |key: &[u8], node_id| {
         children
@@ -29,7 +29,7 @@
         Ticket::decode(&keys(), "payments", &first.encode()),
         Ok(first.clone())
     );
-    let of_other_parent = ChildCalls::of_ticketed(2)
+    let of_other_parent = ChildCalls::for_ticketed_parent(2)
         .ticket_for(&keys(), &service, Some(b"charge"), || home_at("dum-dum-1"))
         .unwrap();
     assert_ne!(of_other_parent.nonce, first.nonce);
@@ -44,19 +44,23 @@
             .unwrap_err()
     };
     let cases = [
-        (ChildCalls::of_ticketed(1), None, ChildRefusal::KeyRequired),
         (
-            ChildCalls::of_ticketed(1),
+            ChildCalls::for_ticketed_parent(1),
+            None,
+            ChildRefusal::KeyRequired,
+        ),
+        (
+            ChildCalls::for_ticketed_parent(1),
             Some(&[b'k'; 300][..]),
-            ChildRefusal::TooMuch,
+            ChildRefusal::LimitExceeded,
         ),
         (
-            ChildCalls::of_ticketed(1),
+            ChildCalls::for_ticketed_parent(1),
             Some(b"key"),
             ChildRefusal::NoHome,
         ),
         (
-            ChildCalls::of_idempotent(),
+            ChildCalls::for_idempotent_parent(),
             Some(b"key"),
             ChildRefusal::ParentIdempotent,
         ),
@@ -65,8 +69,12 @@
         assert_eq!(refused(children, key), expected);
     }
     let text = ticket(1).encode();
-    let passed_along =
-        ChildCalls::of_idempotent().ticket_for(&keys(), &service, Some(text.as_bytes()), || None);
+    let passed_along = ChildCalls::for_idempotent_parent().ticket_for(
+        &keys(),
+        &service,
+        Some(text.as_bytes()),
+        || None,
+    );
     assert_eq!(passed_along, Ok(ticket(1)));
 }
 
@@ -79,7 +87,10 @@
     let text = Ticket::issue(&foreign, service.clone(), peer("dum-dum-1"), 1, 1)
         .unwrap()
         .encode();
-    for mut children in [ChildCalls::of_ticketed(1), ChildCalls::of_idempotent()] {
+    for mut children in [
+        ChildCalls::for_ticketed_parent(1),
+        ChildCalls::for_idempotent_parent(),
+    ] {
         let ticket = children.ticket_for(&keys(), &service, Some(text.as_bytes()), || {
             home_at("dum-dum-1")
         });
--- a/crates/hemlocktack-fleet/tests/at_most_once/decoders.rs
+++ b/crates/hemlocktack-fleet/tests/at_most_once/decoders.rs
@@ -1,7 +1,7 @@
 //! Bytes from outside: no panic, and memory within the limits.
 
-use hemlocktack_fleet::handover::{HandoverLimits, Receiving};
-use hemlocktack_fleet::tickets::{Start, Ticket};
+use hemlocktack_fleet::handover::{HandoverLimits, IncomingHandovers};
+use hemlocktack_fleet::tickets::{StartDecision, Ticket};
 use hemlocktack_protocol::Handover;
 use proptest::prelude::*;
 use prost::Message;
@@ -62,12 +62,12 @@
         entries: 4,
         table_bytes: 512,
     };
-    let mut receiving = Receiving::new(limits);
+    let mut receiving = IncomingHandovers::new(limits);
     let mut table = table();
     for _ in 0..2 {
-        let _ = receiving.part(&mut table, &home(), frame.clone());
+        let _ = receiving.handle_frame(&mut table, &home(), frame.clone());
         assert!(receiving.entry_count() <= limits.entries);
     }
     table.assert_consistent();
-    assert_eq!(table.start(&ticket(1), FINGERPRINT), Start::Run);
+    assert_eq!(table.start(&ticket(1), FINGERPRINT), StartDecision::Run);
 }
--- a/crates/hemlocktack-fleet/tests/at_most_once/handover.rs
+++ b/crates/hemlocktack-fleet/tests/at_most_once/handover.rs
@@ -1,8 +1,10 @@
 use std::sync::Arc;
 
 use hemlocktack_fleet::NodeIncarnation;
-use hemlocktack_fleet::handover::{HandoverError, HandoverLimits, Leaving, Progress, Receiving};
-use hemlocktack_fleet::tickets::{Start, TableLimits, TicketTable};
+use hemlocktack_fleet::handover::{
+    HandoverError, HandoverLimits, HandoverProgress, IncomingHandovers, OutgoingHandover,
+};
+use hemlocktack_fleet::tickets::{StartDecision, TableLimits, TicketTable};
 use hemlocktack_protocol::{Answer, Handover, HandoverAccepted, Reason, Refusal, Unfinished};
 
 use crate::{FINGERPRINT, answer, home, peer, table, ticket};
@@ -10,7 +12,7 @@
 struct Successor {
     name: NodeIncarnation,
     table: TicketTable,
-    receiving: Receiving,
+    receiving: IncomingHandovers,
 }
 
 impl Successor {
@@ -18,14 +20,14 @@
         Successor {
             name: peer(node_id),
             table: TicketTable::new(node_id, 9, TableLimits::default()),
-            receiving: Receiving::new(HandoverLimits::default()),
+            receiving: IncomingHandovers::new(HandoverLimits::default()),
         }
     }
 
     fn take(&mut self, frames: Vec<Handover>) -> Vec<HandoverAccepted> {
         let mut take = |frame| {
             self.receiving
-                .part(&mut self.table, &home(), frame)
+                .handle_frame(&mut self.table, &home(), frame)
                 .unwrap()
         };
         frames.into_iter().map(&mut take).collect()
@@ -33,14 +35,14 @@
 }
 
 fn last_progress(
-    leaving: &mut Leaving,
+    leaving: &mut OutgoingHandover,
     from: &NodeIncarnation,
     replies: &[HandoverAccepted],
-) -> Progress {
-    let mut progress = Progress::Waiting;
+) -> HandoverProgress {
+    let mut progress = HandoverProgress::Waiting;
     for reply in replies {
-        let next = leaving.accepted(from, reply);
-        if next != Progress::Waiting {
+        let next = leaving.handle_accepted(from, reply);
+        if next != HandoverProgress::Waiting {
             progress = next;
         }
     }
@@ -52,46 +54,47 @@
     for nonce in 1..=4 {
         table.start(&ticket(nonce), FINGERPRINT);
     }
-    table.started(1).unwrap();
-    table.answer(1, answer("booked")).unwrap();
+    table.mark_started(1).unwrap();
+    table.record_answer(1, answer("booked")).unwrap();
     table.refuse(2, Reason::Shed).unwrap();
-    table.started(3).unwrap();
+    table.mark_started(3).unwrap();
     table
 }
 
 #[test]
 fn the_successor_knows_every_end() {
     let mut home_table = home_with_every_end();
-    let mut leaving = Leaving::begin(&mut home_table);
-    assert!(home_table.started(4).is_err());
-    let unknown = Start::Refused(Unfinished::Unknown(Reason::Draining));
+    let mut leaving = OutgoingHandover::begin(&mut home_table);
+    assert!(home_table.mark_started(4).is_err());
+    let unknown = StartDecision::Refused(Unfinished::Unknown(Reason::Draining));
     assert_eq!(home_table.start(&ticket(9), FINGERPRINT), unknown);
 
     let mut successor = Successor::new("dum-dum-1");
     let offered = leaving.offer(&successor.name);
     let replies = successor.take(offered);
-    let gone = Start::Refused(Unfinished::Unknown(Reason::HomeGone));
+    let gone = StartDecision::Refused(Unfinished::Unknown(Reason::HomeGone));
     assert_eq!(successor.table.start(&ticket(9), FINGERPRINT), gone);
-    let Progress::Commit(commit) = last_progress(&mut leaving, &successor.name, &replies) else {
+    let HandoverProgress::Commit(commit) = last_progress(&mut leaving, &successor.name, &replies)
+    else {
         panic!("not committed");
     };
     let replies = successor.take(commit);
     assert_eq!(
         last_progress(&mut leaving, &successor.name, &replies),
-        Progress::Finished
+        HandoverProgress::Finished
     );
 
     let fenced = Refusal {
         reason: Reason::Fenced,
         retry_after: None,
     };
-    let fenced = Start::Refused(Unfinished::NotRun(fenced));
+    let fenced = StartDecision::Refused(Unfinished::NotRun(fenced));
     let expected = [
-        (1, Start::Answered(answer("booked"))),
+        (1, StartDecision::Answered(answer("booked"))),
         (2, fenced.clone()),
         (3, gone),
         (4, fenced),
-        (9, Start::Run),
+        (9, StartDecision::Run),
     ];
     for (nonce, start) in expected {
         assert_eq!(
@@ -104,7 +107,7 @@
         reason: Reason::TicketForeign,
         retry_after: None,
     };
-    let of_other_request = Start::Refused(Unfinished::NotRun(of_other_request));
+    let of_other_request = StartDecision::Refused(Unfinished::NotRun(of_other_request));
     assert_eq!(
         successor.table.start(&ticket(1), FINGERPRINT + 1),
         of_other_request
@@ -116,7 +119,7 @@
 // one. If acceptance alone made a home, both would start the same tickets.
 #[test]
 fn an_orphaned_half_handover_leaves_one_home() {
-    let mut leaving = Leaving::begin(&mut home_with_every_end());
+    let mut leaving = OutgoingHandover::begin(&mut home_with_every_end());
     let mut first = Successor::new("dum-dum-1");
     let mut second = Successor::new("howrah-1");
     let late_replies = first.take(leaving.offer(&first.name));
@@ -124,9 +127,10 @@
     let replies = second.take(leaving.offer(&second.name));
     assert_eq!(
         last_progress(&mut leaving, &first.name, &late_replies),
-        Progress::Waiting
+        HandoverProgress::Waiting
     );
-    let Progress::Commit(commit) = last_progress(&mut leaving, &second.name, &replies) else {
+    let HandoverProgress::Commit(commit) = last_progress(&mut leaving, &second.name, &replies)
+    else {
         panic!("not committed");
     };
     assert!(!leaving.abandon());
@@ -137,16 +141,19 @@
     let replies = second.take(leaving.offer(&second.name));
     assert_eq!(
         last_progress(&mut leaving, &second.name, &replies),
-        Progress::Finished
+        HandoverProgress::Finished
     );
-    assert_eq!(second.table.start(&ticket(9), FINGERPRINT), Start::Run);
-    let gone = Start::Refused(Unfinished::Unknown(Reason::HomeGone));
+    assert_eq!(
+        second.table.start(&ticket(9), FINGERPRINT),
+        StartDecision::Run
+    );
+    let gone = StartDecision::Refused(Unfinished::Unknown(Reason::HomeGone));
     assert_eq!(first.table.start(&ticket(9), FINGERPRINT), gone);
 }
 
 #[test]
 fn refuses_what_does_not_fit() {
-    let mut leaving = Leaving::begin(&mut home_with_every_end());
+    let mut leaving = OutgoingHandover::begin(&mut home_with_every_end());
     let parts = leaving.offer(&peer("dum-dum-1"));
     let part = &parts[0];
     let mut bad_nonce = part.clone();
@@ -167,7 +174,7 @@
     for (frame, expected) in cases {
         let refused = successor
             .receiving
-            .part(&mut successor.table, &home(), frame);
+            .handle_frame(&mut successor.table, &home(), frame);
         assert_eq!(refused, Err(expected));
     }
     // Its last part was lost, and the commit came all the same.
@@ -185,18 +192,19 @@
     };
     let refused = successor
         .receiving
-        .part(&mut successor.table, &home(), commit);
+        .handle_frame(&mut successor.table, &home(), commit);
     assert_eq!(refused, Err(HandoverError::NotComplete));
     let limits = HandoverLimits {
         entries: 3,
         ..HandoverLimits::default()
     };
-    let refused = Receiving::new(limits).part(&mut successor.table, &home(), part.clone());
+    let refused =
+        IncomingHandovers::new(limits).handle_frame(&mut successor.table, &home(), part.clone());
     assert_eq!(refused, Err(HandoverError::TooLarge));
     successor.table.stop_accepting();
     let refused = successor
         .receiving
-        .part(&mut successor.table, &home(), part.clone());
+        .handle_frame(&mut successor.table, &home(), part.clone());
     assert_eq!(refused, Err(HandoverError::Stopping));
     assert_eq!(successor.receiving.entry_count(), 0);
 }
@@ -212,10 +220,12 @@
     });
     for nonce in 1..=4 {
         home_table.start(&ticket(nonce), FINGERPRINT);
-        home_table.started(nonce).unwrap();
-        home_table.answer(nonce, large_answer.clone()).unwrap();
+        home_table.mark_started(nonce).unwrap();
+        home_table
+            .record_answer(nonce, large_answer.clone())
+            .unwrap();
     }
-    let mut leaving = Leaving::begin(&mut home_table);
+    let mut leaving = OutgoingHandover::begin(&mut home_table);
     let mut successor = Successor::new("dum-dum-1");
     let parts = leaving.offer(&successor.name);
     assert!(parts.len() > 1);
@@ -231,7 +241,8 @@
         .flat_map(|part| [part.clone(), part.clone()])
         .collect();
     let replies = successor.take(twice);
-    let Progress::Commit(commit) = last_progress(&mut leaving, &successor.name, &replies) else {
+    let HandoverProgress::Commit(commit) = last_progress(&mut leaving, &successor.name, &replies)
+    else {
         panic!("not committed");
     };
     successor.take(commit);
@@ -239,7 +250,7 @@
         let start = successor.table.start(&ticket(nonce), FINGERPRINT);
         assert_eq!(
             start,
-            Start::Answered(large_answer.clone()),
+            StartDecision::Answered(large_answer.clone()),
             "ticket {nonce}"
         );
     }
@@ -250,7 +261,7 @@
 // nobody else could be tried.
 #[test]
 fn only_a_complete_table_is_committed() {
-    let mut leaving = Leaving::begin(&mut home_with_every_end());
+    let mut leaving = OutgoingHandover::begin(&mut home_with_every_end());
     let mut first = Successor::new("dum-dum-1");
     let parts = leaving.offer(&first.name);
     let cut = parts.iter().map(|part| Handover {
@@ -260,18 +271,24 @@
     let replies = first.take(cut.collect());
     assert_eq!(
         last_progress(&mut leaving, &first.name, &replies),
-        Progress::Waiting
+        HandoverProgress::Waiting
     );
     let refusal = HandoverAccepted {
         refused: true,
         ..replies[0].clone()
     };
-    assert_eq!(leaving.accepted(&first.name, &refusal), Progress::Refused);
+    assert_eq!(
+        leaving.handle_accepted(&first.name, &refusal),
+        HandoverProgress::Refused
+    );
     assert!(leaving.abandon());
     let mut second = Successor::new("howrah-1");
     let replies = second.take(leaving.offer(&second.name));
     let progress = last_progress(&mut leaving, &second.name, &replies);
-    assert!(matches!(progress, Progress::Commit(_)), "{progress:?}");
+    assert!(
+        matches!(progress, HandoverProgress::Commit(_)),
+        "{progress:?}"
+    );
 }
 
 // A home hands over more records than a new epoch of the successor holds. If
@@ -281,10 +298,10 @@
     let mut home_table = table();
     for nonce in 1..=100 {
         home_table.start(&ticket(nonce), FINGERPRINT);
-        home_table.started(nonce).unwrap();
-        home_table.answer(nonce, answer("booked")).unwrap();
+        home_table.mark_started(nonce).unwrap();
+        home_table.record_answer(nonce, answer("booked")).unwrap();
     }
-    let mut leaving = Leaving::begin(&mut home_table);
+    let mut leaving = OutgoingHandover::begin(&mut home_table);
     let mut successor = Successor::new("dum-dum-1");
     let limits = TableLimits {
         records_per_epoch: 10,
@@ -293,13 +310,18 @@
     };
     successor.table = TicketTable::new("dum-dum-1", 9, limits);
     let replies = successor.take(leaving.offer(&successor.name));
-    let Progress::Commit(commit) = last_progress(&mut leaving, &successor.name, &replies) else {
+    let HandoverProgress::Commit(commit) = last_progress(&mut leaving, &successor.name, &replies)
+    else {
         panic!("not committed");
     };
     successor.take(commit);
     for nonce in 1..=100 {
         let start = successor.table.start(&ticket(nonce), FINGERPRINT);
-        assert_eq!(start, Start::Answered(answer("booked")), "ticket {nonce}");
+        assert_eq!(
+            start,
+            StartDecision::Answered(answer("booked")),
+            "ticket {nonce}"
+        );
     }
     successor.table.assert_consistent();
 }
@@ -319,28 +341,31 @@
     });
     for nonce in 1..=40 {
         home_table.start(&ticket(nonce), FINGERPRINT);
-        home_table.started(nonce).unwrap();
-        home_table.answer(nonce, large_answer.clone()).unwrap();
+        home_table.mark_started(nonce).unwrap();
+        home_table
+            .record_answer(nonce, large_answer.clone())
+            .unwrap();
     }
-    let mut leaving = Leaving::begin(&mut home_table);
+    let mut leaving = OutgoingHandover::begin(&mut home_table);
     let mut successor = Successor::new("dum-dum-1");
     successor.table = TicketTable::new("dum-dum-1", 9, limits);
     let replies = successor.take(leaving.offer(&successor.name));
-    let Progress::Commit(commit) = last_progress(&mut leaving, &successor.name, &replies) else {
+    let HandoverProgress::Commit(commit) = last_progress(&mut leaving, &successor.name, &replies)
+    else {
         panic!("not committed");
     };
     successor.take(commit);
     assert_eq!(
         successor.table.start(&ticket(1), FINGERPRINT),
-        Start::AnswerNotKept
+        StartDecision::AnswerNotKept
     );
     let latest = successor.table.start(&ticket(40), FINGERPRINT);
-    assert_eq!(latest, Start::Answered(large_answer));
+    assert_eq!(latest, StartDecision::Answered(large_answer));
 }
 
 #[test]
 fn offers_of_nodes_that_have_gone_are_forgotten() {
-    let mut leaving = Leaving::begin(&mut home_with_every_end());
+    let mut leaving = OutgoingHandover::begin(&mut home_with_every_end());
     let mut successor = Successor::new("dum-dum-1");
     successor.take(leaving.offer(&successor.name));
     assert!(successor.receiving.entry_count() > 0);
--- a/crates/hemlocktack-fleet/tests/at_most_once/main.rs
+++ b/crates/hemlocktack-fleet/tests/at_most_once/main.rs
@@ -7,8 +7,8 @@
 mod decoders;
 mod handover;
 mod keys;
+mod pending_calls;
 mod properties;
-mod sends;
 mod table;
 mod ticket;
 
--- a/crates/hemlocktack-fleet/tests/at_most_once/sends.rs
+++ b/crates/hemlocktack-fleet/tests/at_most_once/pending_calls.rs
@@ -1,10 +1,10 @@
-use hemlocktack_fleet::calls::{LinkLoss, Resolved, Sends};
+use hemlocktack_fleet::calls::{LinkLoss, PendingCalls, Resolved};
 use hemlocktack_protocol::CallProgress;
 
 use crate::peer;
 
-fn sends() -> Sends<&'static str> {
-    let mut sends = Sends::new(peer("dum-dum-1"));
+fn sends() -> PendingCalls<&'static str> {
+    let mut sends = PendingCalls::new(peer("dum-dum-1"));
     for (call_id, waiter) in [(1, "first"), (2, "second"), (3, "third")] {
         sends.insert(call_id, waiter);
     }
@@ -14,7 +14,7 @@
 #[test]
 fn settles_each_call_once() {
     let mut sends = sends();
-    assert!(sends.sent(1));
+    assert!(sends.mark_sent(1));
     assert_eq!(sends.answered(1), Some("first"));
     assert_eq!(sends.answered(1), None);
     assert_eq!(
@@ -22,15 +22,15 @@
         Resolved::Ignored
     );
     assert_eq!(sends.abandon(2), Some("second"));
-    assert!(!sends.sent(2));
+    assert!(!sends.mark_sent(2));
     assert_eq!((sends.dropped_answers(), sends.waiting_count()), (1, 1));
 }
 
 #[test]
 fn tells_not_run_only_for_what_never_left_or_is_fenced() {
     let mut sends = sends();
-    sends.sent(1);
-    sends.sent(2);
+    sends.mark_sent(1);
+    sends.mark_sent(2);
     let expected = LinkLoss {
         not_sent: vec!["third"],
         in_doubt: vec![1, 2],
@@ -53,7 +53,7 @@
 #[test]
 fn another_incarnation_leaves_every_call_unknown() {
     let mut sends = sends();
-    sends.sent(1);
+    sends.mark_sent(1);
     assert_eq!(
         sends.resolved(1, CallProgress::NeverArrived),
         Resolved::Ignored
--- a/crates/hemlocktack-fleet/tests/at_most_once/properties.rs
+++ b/crates/hemlocktack-fleet/tests/at_most_once/properties.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, HashSet};
 
 use hemlocktack_fleet::calls::{Arrival, ArrivalLimits, Arrivals, Resolution};
-use hemlocktack_fleet::tickets::{Start, TableLimits, Ticket, TicketTable};
+use hemlocktack_fleet::tickets::{StartDecision, TableLimits, Ticket, TicketTable};
 use hemlocktack_protocol::Reason;
 use proptest::prelude::*;
 
@@ -73,7 +73,7 @@
             let delegate = |number: u8| peer(["dum-dum-1", "howrah-1"][usize::from(number)]);
             match step {
                 Step::Start => {
-                    if table.start(&ticket, FINGERPRINT) == Start::Run {
+                    if table.start(&ticket, FINGERPRINT) == StartDecision::Run {
                         prop_assert!(!seen.let_in, "let in twice");
                         seen.let_in = true;
                     }
@@ -81,16 +81,16 @@
                 Step::Started | Step::Delegate(_) => {
                     let went_out = match step {
                         Step::Delegate(number) => table.delegate(nonce, delegate(number)),
-                        _ => table.started(nonce),
+                        _ => table.mark_started(nonce),
                     };
                     if went_out.is_ok() {
                         prop_assert!(seen.let_in && !seen.out && !seen.ended, "out twice");
                         seen.out = true;
                     }
                 }
-                Step::GiveBack => seen.out &= table.give_back(nonce).is_err(),
+                Step::GiveBack => seen.out &= table.requeue(nonce).is_err(),
                 Step::GiveBackFrom(number) => {
-                    seen.out &= table.give_back_from(nonce, &delegate(number)).is_err();
+                    seen.out &= table.requeue_from(nonce, &delegate(number)).is_err();
                 }
                 Step::Refuse => {
                     if table.refuse(nonce, Reason::Shed).is_ok() {
@@ -100,8 +100,8 @@
                 }
                 Step::Answer | Step::GiveUp => {
                     let ended = match step {
-                        Step::Answer => table.answer(nonce, answer("booked")),
-                        _ => table.give_up(nonce, Reason::Timeout),
+                        Step::Answer => table.record_answer(nonce, answer("booked")),
+                        _ => table.record_unknown(nonce, Reason::Timeout),
                     };
                     if ended.is_ok() {
                         prop_assert!(seen.out && !seen.ended, "ended what was not out");
@@ -133,7 +133,7 @@
             let key = (sender, call_id);
             let sender = &senders[sender];
             match step {
-                0 if arrivals.arrive(sender, call_id) == Arrival::New => {
+                0 if arrivals.record_arrival(sender, call_id) == Arrival::New => {
                     prop_assert!(treated.insert(key), "new twice");
                     prop_assert!(!fenced.contains(&key), "new after it was fenced");
                 }
--- a/crates/hemlocktack-fleet/tests/at_most_once/table.rs
+++ b/crates/hemlocktack-fleet/tests/at_most_once/table.rs
@@ -1,18 +1,18 @@
 use hemlocktack_fleet::NodeIncarnation;
-use hemlocktack_fleet::tickets::{Start, TableLimits, Ticket, TicketTable, WrongState};
+use hemlocktack_fleet::tickets::{StartDecision, TableLimits, Ticket, TicketTable, WrongState};
 use hemlocktack_protocol::{Reason, Refusal, Unfinished};
 
 use crate::{FINGERPRINT, SERVICE, answer, home, keys, peer, table, ticket};
 
-fn not_run(reason: Reason) -> Start {
-    Start::Refused(Unfinished::NotRun(Refusal {
+fn not_run(reason: Reason) -> StartDecision {
+    StartDecision::Refused(Unfinished::NotRun(Refusal {
         reason,
         retry_after: None,
     }))
 }
 
-fn unknown(reason: Reason) -> Start {
-    Start::Refused(Unfinished::Unknown(reason))
+fn unknown(reason: Reason) -> StartDecision {
+    StartDecision::Refused(Unfinished::Unknown(reason))
 }
 
 fn issue(home: NodeIncarnation, epoch: u64, nonce: u128) -> Ticket {
@@ -24,23 +24,23 @@
 #[test]
 fn resends_join_and_get_the_one_answer() {
     let mut table = table();
-    assert_eq!(table.start(&ticket(1), FINGERPRINT), Start::Run);
-    assert_eq!(table.start(&ticket(1), FINGERPRINT), Start::Join);
-    table.started(1).unwrap();
-    assert_eq!(table.started(1), Err(WrongState));
-    assert_eq!(table.start(&ticket(1), FINGERPRINT), Start::Join);
-    table.answer(1, answer("booked")).unwrap();
+    assert_eq!(table.start(&ticket(1), FINGERPRINT), StartDecision::Run);
+    assert_eq!(table.start(&ticket(1), FINGERPRINT), StartDecision::Join);
+    table.mark_started(1).unwrap();
+    assert_eq!(table.mark_started(1), Err(WrongState));
+    assert_eq!(table.start(&ticket(1), FINGERPRINT), StartDecision::Join);
+    table.record_answer(1, answer("booked")).unwrap();
     assert_eq!(
         table.start(&ticket(1), FINGERPRINT),
-        Start::Answered(answer("booked"))
+        StartDecision::Answered(answer("booked"))
     );
     for late_step in [
-        table.started(1),
+        table.mark_started(1),
         table.delegate(1, peer("dum-dum-1")),
-        table.give_back(1),
+        table.requeue(1),
         table.refuse(1, Reason::Shed),
-        table.answer(1, answer("booked twice")),
-        table.give_up(1, Reason::Timeout),
+        table.record_answer(1, answer("booked twice")),
+        table.record_unknown(1, Reason::Timeout),
     ] {
         assert_eq!(late_step, Err(WrongState));
     }
@@ -53,20 +53,20 @@
 #[test]
 fn a_ticket_told_not_run_never_starts_later() {
     let mut table = table();
-    assert_eq!(table.start(&ticket(1), FINGERPRINT), Start::Run);
+    assert_eq!(table.start(&ticket(1), FINGERPRINT), StartDecision::Run);
     table.refuse(1, Reason::Shed).unwrap();
     assert_eq!(table.start(&ticket(1), FINGERPRINT), not_run(Reason::Shed));
-    assert_eq!(table.started(1), Err(WrongState));
+    assert_eq!(table.mark_started(1), Err(WrongState));
 }
 
 #[test]
 fn a_ticket_that_may_have_run_never_starts_again() {
     let mut table = table();
     table.start(&ticket(1), FINGERPRINT);
-    assert_eq!(table.give_up(1, Reason::LinkLost), Err(WrongState));
-    table.started(1).unwrap();
+    assert_eq!(table.record_unknown(1, Reason::LinkLost), Err(WrongState));
+    table.mark_started(1).unwrap();
     assert_eq!(table.refuse(1, Reason::Shed), Err(WrongState));
-    table.give_up(1, Reason::UpstreamFailed).unwrap();
+    table.record_unknown(1, Reason::UpstreamFailed).unwrap();
     assert_eq!(
         table.start(&ticket(1), FINGERPRINT),
         unknown(Reason::UpstreamFailed)
@@ -82,12 +82,12 @@
     table.start(&ticket(1), FINGERPRINT);
     table.delegate(1, first.clone()).unwrap();
     assert_eq!(table.delegate(1, second.clone()), Err(WrongState));
-    assert_eq!(table.started(1), Err(WrongState));
-    assert_eq!(table.give_back_from(1, &second), Err(WrongState));
-    table.give_back_from(1, &first).unwrap();
+    assert_eq!(table.mark_started(1), Err(WrongState));
+    assert_eq!(table.requeue_from(1, &second), Err(WrongState));
+    table.requeue_from(1, &first).unwrap();
     table.delegate(1, second.clone()).unwrap();
-    assert_eq!(table.give_back_from(1, &first), Err(WrongState));
-    table.answer(1, answer("booked")).unwrap();
+    assert_eq!(table.requeue_from(1, &first), Err(WrongState));
+    table.record_answer(1, answer("booked")).unwrap();
     assert_eq!(table.in_flight_count(), 0);
 }
 
@@ -125,13 +125,13 @@
     };
     let mut table = TicketTable::new("salt-lake-1", 7, limits);
     let running = issue(home(), 1, 1_000_000);
-    assert_eq!(table.start(&running, FINGERPRINT), Start::Run);
-    table.started(running.nonce).unwrap();
+    assert_eq!(table.start(&running, FINGERPRINT), StartDecision::Run);
+    table.mark_started(running.nonce).unwrap();
     for nonce in 0..1000 {
         let ticket = issue(home(), table.current_epoch(), nonce);
-        assert_eq!(table.start(&ticket, FINGERPRINT), Start::Run);
-        table.started(nonce).unwrap();
-        table.answer(nonce, answer("booked")).unwrap();
+        assert_eq!(table.start(&ticket, FINGERPRINT), StartDecision::Run);
+        table.mark_started(nonce).unwrap();
+        table.record_answer(nonce, answer("booked")).unwrap();
         assert!(table.record_count() <= 10 * 4 + 1);
         table.assert_consistent();
     }
@@ -139,15 +139,18 @@
         table.start(&issue(home(), 1, 0), FINGERPRINT),
         unknown(Reason::TicketExpired)
     );
-    assert_eq!(table.start(&running, FINGERPRINT), Start::Join);
-    table.answer(running.nonce, answer("late")).unwrap();
+    assert_eq!(table.start(&running, FINGERPRINT), StartDecision::Join);
+    table.record_answer(running.nonce, answer("late")).unwrap();
     let latest = issue(home(), table.current_epoch(), 999);
     assert_eq!(
         table.start(&latest, FINGERPRINT),
-        Start::Answered(answer("booked"))
+        StartDecision::Answered(answer("booked"))
     );
     let earlier = issue(home(), table.current_epoch() - 2, 985);
-    assert_eq!(table.start(&earlier, FINGERPRINT), Start::AnswerNotKept);
+    assert_eq!(
+        table.start(&earlier, FINGERPRINT),
+        StartDecision::AnswerNotKept
+    );
     assert_eq!(
         table.start(&running, FINGERPRINT),
         unknown(Reason::TicketExpired)
@@ -165,12 +168,12 @@
         table.start(&ticket(2), FINGERPRINT),
         not_run(Reason::Draining)
     );
-    assert_eq!(table.start(&ticket(1), FINGERPRINT), Start::Join);
-    table.started(1).unwrap();
-    table.answer(1, answer("booked")).unwrap();
+    assert_eq!(table.start(&ticket(1), FINGERPRINT), StartDecision::Join);
+    table.mark_started(1).unwrap();
+    table.record_answer(1, answer("booked")).unwrap();
     assert_eq!(
         table.start(&ticket(1), FINGERPRINT),
-        Start::Answered(answer("booked"))
+        StartDecision::Answered(answer("booked"))
     );
 }
 
@@ -180,20 +183,20 @@
 fn a_ticket_is_bound_to_its_first_request() {
     let mut table = table();
     let other_request = FINGERPRINT + 1;
-    assert_eq!(table.start(&ticket(1), FINGERPRINT), Start::Run);
+    assert_eq!(table.start(&ticket(1), FINGERPRINT), StartDecision::Run);
     assert_eq!(
         table.start(&ticket(1), other_request),
         not_run(Reason::TicketForeign)
     );
-    table.started(1).unwrap();
-    table.answer(1, answer("booked")).unwrap();
+    table.mark_started(1).unwrap();
+    table.record_answer(1, answer("booked")).unwrap();
     assert_eq!(
         table.start(&ticket(1), other_request),
         not_run(Reason::TicketForeign)
     );
     assert_eq!(
         table.start(&ticket(1), FINGERPRINT),
-        Start::Answered(answer("booked"))
+        StartDecision::Answered(answer("booked"))
     );
 }
 
@@ -203,17 +206,23 @@
 fn a_smaller_budget_drops_answers_and_keeps_what_ran() {
     let mut table = table();
     for nonce in 1..=2 {
-        assert_eq!(table.start(&ticket(nonce), FINGERPRINT), Start::Run);
-        table.started(nonce).unwrap();
-        table.answer(nonce, answer("booked")).unwrap();
+        assert_eq!(table.start(&ticket(nonce), FINGERPRINT), StartDecision::Run);
+        table.mark_started(nonce).unwrap();
+        table.record_answer(nonce, answer("booked")).unwrap();
     }
     table.set_kept_answer_bytes(table.kept_answer_bytes() / 2);
-    assert_eq!(table.start(&ticket(1), FINGERPRINT), Start::AnswerNotKept);
+    assert_eq!(
+        table.start(&ticket(1), FINGERPRINT),
+        StartDecision::AnswerNotKept
+    );
     assert_eq!(
         table.start(&ticket(2), FINGERPRINT),
-        Start::Answered(answer("booked"))
+        StartDecision::Answered(answer("booked"))
     );
     table.set_kept_answer_bytes(0);
-    assert_eq!(table.start(&ticket(2), FINGERPRINT), Start::AnswerNotKept);
+    assert_eq!(
+        table.start(&ticket(2), FINGERPRINT),
+        StartDecision::AnswerNotKept
+    );
     table.assert_consistent();
 }
--- a/crates/hemlocktack-fleet/tests/configuration/any_documents.rs
+++ b/crates/hemlocktack-fleet/tests/configuration/any_documents.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-use hemlocktack_fleet::configuration::{ConfigurationAction, InForce, PeersView};
+use hemlocktack_fleet::configuration::{ConfigurationAction, ConfigurationState, PeerView};
 use hemlocktack_protocol::{ConfigurationDocument, Generation};
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -68,14 +68,14 @@
 }
 
 fn handle(
-    in_force: &mut InForce,
+    in_force: &mut ConfigurationState,
     event: Event,
     now: Instant,
-    view: &PeersView,
+    view: &PeerView,
 ) -> Vec<ConfigurationAction> {
     match event {
-        Event::Heard(generation) => in_force.hear("a", generation),
-        Event::StoredHere(document) => return in_force.stored_here(document),
+        Event::Heard(generation) => in_force.peer_announced("a", generation),
+        Event::StoredHere(document) => return in_force.stored_locally(document),
         Event::PlatformAnswered(document) => {
             return in_force.platform_answered(now, document, view, &mut rng());
         }
@@ -99,7 +99,7 @@
         events in vec((event(), 0..3_000_u64), 1..24), is_watcher in any::<bool>(),
     ) {
         let mut now = Instant::now();
-        let view = PeersView { is_watcher, ..peers(&["a", "b"]) };
+        let view = PeerView { is_watcher, ..peers(&["a", "b"]) };
         let mut in_force = older_version(now);
         let mut told = BTreeSet::new();
         let mut before = 0;
--- a/crates/hemlocktack-fleet/tests/configuration/main.rs
+++ b/crates/hemlocktack-fleet/tests/configuration/main.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use hemlocktack_fleet::configuration::{
-    ConfigurationAction, ConfigurationSettings, InForce, PeersView, watches_platform,
+    ConfigurationAction, ConfigurationSettings, ConfigurationState, PeerView, watches_platform,
 };
 use hemlocktack_protocol::{ConfigurationDocument, Generation};
 use rand::SeedableRng;
@@ -21,8 +21,8 @@
     }
 }
 
-fn peers(names: &[&str]) -> PeersView {
-    PeersView {
+fn peers(names: &[&str]) -> PeerView {
+    PeerView {
         ready: names.iter().map(|&name| name.to_owned()).collect(),
         is_watcher: false,
     }
@@ -37,8 +37,8 @@
 #[test]
 fn a_late_answer_does_not_revert() {
     let now = Instant::now();
-    let mut in_force = InForce::new(ConfigurationSettings::default(), now);
-    in_force.stored_here(document(5));
+    let mut in_force = ConfigurationState::new(ConfigurationSettings::default(), now);
+    in_force.stored_locally(document(5));
     let actions = in_force.peer_answered(now, "slow", 4, Some(document(4)));
     assert_eq!(actions, []);
     assert_eq!(in_force.generation(), 5);
@@ -50,7 +50,7 @@
 #[test]
 fn a_start_without_the_platform_asks_several_peers() {
     let mut now = Instant::now();
-    let mut in_force = InForce::new(ConfigurationSettings::default(), now);
+    let mut in_force = ConfigurationState::new(ConfigurationSettings::default(), now);
     let view = peers(&["a", "b", "c", "d"]);
     let mut asked = 0;
     in_force.tick(now, &view, &mut rng());
@@ -75,12 +75,12 @@
 #[test]
 fn calls_to_a_failing_platform_become_rare() {
     let start = Instant::now();
-    let mut in_force = InForce::new(ConfigurationSettings::default(), start);
+    let mut in_force = ConfigurationState::new(ConfigurationSettings::default(), start);
     let mut calls = 0;
     for tick in 0..3_000 {
         let now = start + Duration::from_millis(100) * tick;
-        for action in in_force.tick(now, &PeersView::default(), &mut rng()) {
-            if matches!(action, ConfigurationAction::AskPlatform { .. }) {
+        for action in in_force.tick(now, &PeerView::default(), &mut rng()) {
+            if matches!(action, ConfigurationAction::ReadPlatform { .. }) {
                 calls += 1;
                 in_force.platform_failed(now, &mut rng());
             }
@@ -109,12 +109,12 @@
     }
 }
 
-fn older_version(now: Instant) -> InForce {
+fn older_version(now: Instant) -> ConfigurationState {
     let settings = ConfigurationSettings {
         can_read: |document| document.document == "text",
         ..ConfigurationSettings::default()
     };
-    InForce::new(settings, now)
+    ConfigurationState::new(settings, now)
 }
 
 /// An older binary starts while the stored document has a newer field. Were it
@@ -143,13 +143,13 @@
 #[test]
 fn an_unreadable_document_leaves_the_older_in_force() {
     let now = Instant::now();
-    let view = PeersView::default();
+    let view = PeerView::default();
     let mut in_force = older_version(now);
     in_force.platform_answered(now, Some(document(3)), &view, &mut rng());
-    let mut actions = in_force.stored_here(unreadable(4));
+    let mut actions = in_force.stored_locally(unreadable(4));
     actions.extend(in_force.platform_answered(now, Some(unreadable(4)), &view, &mut rng()));
     actions.extend(in_force.peer_answered(now, "a", 4, Some(unreadable(4))));
-    in_force.hear("b", 4);
+    in_force.peer_announced("b", 4);
     actions.extend(in_force.tick(now, &view, &mut rng()));
     let is_install =
         |action: &ConfigurationAction| matches!(action, ConfigurationAction::Install { .. });
@@ -166,16 +166,16 @@
 #[test]
 fn refused_watches_are_not_repeated_without_a_pause() {
     let start = Instant::now();
-    let mut in_force = InForce::new(ConfigurationSettings::default(), start);
-    let view = PeersView {
+    let mut in_force = ConfigurationState::new(ConfigurationSettings::default(), start);
+    let view = PeerView {
         is_watcher: true,
-        ..PeersView::default()
+        ..PeerView::default()
     };
     let (mut reads, mut watches) = (0, 0);
     for tick in 0..3_000 {
         let now = start + Duration::from_millis(100) * tick;
         for action in in_force.tick(now, &view, &mut rng()) {
-            let ConfigurationAction::AskPlatform { wait, .. } = action else {
+            let ConfigurationAction::ReadPlatform { wait, .. } = action else {
                 continue;
             };
             if wait {
--- a/crates/hemlocktack-fleet/tests/drain/main.rs
+++ b/crates/hemlocktack-fleet/tests/drain/main.rs
@@ -6,7 +6,7 @@
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::time::{Duration, Instant};
 
-use hemlocktack_fleet::drain::{Announcement, DrainSettings, Life, LifeAction};
+use hemlocktack_fleet::drain::{Announcement, DrainSettings, LifecycleAction, NodeLifecycle};
 use hemlocktack_protocol::UpstreamState;
 
 const ADDRESS: SocketAddr = SocketAddr::V4(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 9001));
@@ -19,9 +19,9 @@
     is_other_start: false,
 };
 
-fn ready(now: Instant, settings: DrainSettings) -> Life {
-    let mut life = Life::new(settings, now);
-    life.caught_up();
+fn ready(now: Instant, settings: DrainSettings) -> NodeLifecycle {
+    let mut life = NodeLifecycle::new(settings, now);
+    life.configuration_caught_up();
     life.announce(now, WARM);
     life
 }
@@ -54,8 +54,8 @@
     life.drain(now);
     assert_eq!(life.check_stop(now + Duration::from_secs(29), 1), []);
     let actions = life.check_stop(now + Duration::from_secs(30), 1);
-    let overrun = LifeAction::ReportOverrun { in_flight: 1 };
-    assert_eq!(actions, [overrun, LifeAction::HandOver]);
+    let overrun = LifecycleAction::ReportOverrun { in_flight: 1 };
+    assert_eq!(actions, [overrun, LifecycleAction::HandOver]);
 }
 
 /// An upstream drains; the last renewal of its announcement comes after that.
@@ -90,7 +90,7 @@
     };
     life.announce(now, next);
     assert_eq!(life.upstream(), UpstreamState::Ready);
-    assert!(life.takes_new_work());
+    assert!(life.accepts_new_calls());
 }
 
 /// An upstream that no longer renews gets no new work.
@@ -98,9 +98,9 @@
 fn an_announcement_lapses() {
     let now = Instant::now();
     let mut life = ready(now, DrainSettings::default());
-    assert!(life.takes_new_work());
+    assert!(life.accepts_new_calls());
     life.check_upstream(now + Duration::from_secs(3));
-    assert!(!life.takes_new_work());
+    assert!(!life.accepts_new_calls());
 }
 
 /// What happens to an upstream, in order.
@@ -139,7 +139,7 @@
                 }
             }
             is_leaving |= matches!(step, Drain);
-            let takes = is_leaving && life.takes_new_work();
+            let takes = is_leaving && life.accepts_new_calls();
             assert!(!takes, "{steps:?} at {step:?}");
         }
         assert_eq!(life.upstream(), UpstreamState::Draining, "{steps:?}");
@@ -150,6 +150,6 @@
         life.announce(now, returned);
         assert_eq!(life.upstream(), UpstreamState::Cold, "{steps:?}");
         life.announce(now, WARM);
-        assert!(life.takes_new_work(), "{steps:?}");
+        assert!(life.accepts_new_calls(), "{steps:?}");
     }
 }
--- a/crates/hemlocktack-fleet/tests/membership/addresses.rs
+++ b/crates/hemlocktack-fleet/tests/membership/addresses.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use hemlocktack_fleet::membership::{Action, Membership};
+use hemlocktack_fleet::membership::{Membership, MembershipAction};
 use hemlocktack_protocol::{Gossip, IndirectProbe, NodeState, ProbeAck, gossip};
 
 use crate::support::{address, node, record, rng, tell};
@@ -23,9 +23,9 @@
 }
 
 /// The probe that an action sends, and where to.
-fn probe_in(actions: &[Action]) -> Option<(SocketAddr, u64)> {
+fn probe_in(actions: &[MembershipAction]) -> Option<(SocketAddr, u64)> {
     actions.iter().find_map(|action| match action {
-        Action::Send { to, gossip } => match &gossip.body {
+        MembershipAction::Send { to, gossip } => match &gossip.body {
             Some(gossip::Body::Probe(probe)) => Some((*to, probe.sequence)),
             _ => None,
         },
@@ -33,9 +33,9 @@
     })
 }
 
-fn has_ack(actions: &[Action]) -> bool {
+fn has_ack(actions: &[MembershipAction]) -> bool {
     actions.iter().any(|action| match action {
-        Action::Send { gossip, .. } => matches!(gossip.body, Some(gossip::Body::Ack(_))),
+        MembershipAction::Send { gossip, .. } => matches!(gossip.body, Some(gossip::Body::Ack(_))),
         _ => false,
     })
 }
@@ -72,9 +72,9 @@
 
 /// Answers each probe that goes to the gone member's address as the node that is
 /// there now, and each probe of the others as themselves, asked ones too.
-fn answer(fleet: &mut [Membership], number: u16, actions: Vec<Action>, now: Instant) {
+fn answer(fleet: &mut [Membership], number: u16, actions: Vec<MembershipAction>, now: Instant) {
     for action in actions {
-        let Action::Send { to, gossip } = action else {
+        let MembershipAction::Send { to, gossip } = action else {
             continue;
         };
         let behind = fleet
--- a/crates/hemlocktack-fleet/tests/membership/datagrams.rs
+++ b/crates/hemlocktack-fleet/tests/membership/datagrams.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use hemlocktack_fleet::membership::{
-    Action, DatagramError, MembershipSettings, open_datagram, seal_datagram,
+    DatagramError, MembershipAction, MembershipSettings, open_datagram, seal_datagram,
 };
 use hemlocktack_protocol::{Gossip, Probe, SyncPull, gossip};
 use proptest::prelude::*;
@@ -43,7 +43,7 @@
     }
     let mut count = 0;
     for action in actions {
-        if let Action::Send { gossip, .. } = action {
+        if let MembershipAction::Send { gossip, .. } = action {
             let length = gossip.encoded_len() + settings.mac_bytes;
             assert!(length <= settings.datagram_limit_bytes, "{length}");
             count += 1;
--- a/crates/hemlocktack-fleet/tests/membership/nearly_right.rs
+++ b/crates/hemlocktack-fleet/tests/membership/nearly_right.rs
@@ -7,8 +7,8 @@
 
 use bytes::Bytes;
 use hemlocktack_fleet::membership::{
-    Action, DatagramError, Membership, MembershipSettings, NODE_ID_LIMIT_BYTES, open_datagram,
-    seal_datagram,
+    DatagramError, Membership, MembershipAction, MembershipSettings, NODE_ID_LIMIT_BYTES,
+    open_datagram, seal_datagram,
 };
 use hemlocktack_protocol::{
     Gossip, IndirectProbe, Member, Probe, ProbeAck, Succession, SuspectRequest, SyncPage, SyncPull,
@@ -150,11 +150,11 @@
 }
 
 /// Datagrams that go out, each within its limit.
-fn check(actions: &[Action]) -> Result<(), TestCaseError> {
+fn check(actions: &[MembershipAction]) -> Result<(), TestCaseError> {
     prop_assert!(actions.len() <= ACTION_LIMIT, "{} actions", actions.len());
     let settings = MembershipSettings::default();
     for action in actions {
-        let Action::Send { gossip, .. } = action else {
+        let MembershipAction::Send { gossip, .. } = action else {
             continue;
         };
         let sealed = seal_datagram(gossip, |_| Bytes::copy_from_slice(&MAC));
--- a/crates/hemlocktack-fleet/tests/membership/replacement.rs
+++ b/crates/hemlocktack-fleet/tests/membership/replacement.rs
@@ -2,7 +2,9 @@
 
 use std::time::{Duration, Instant};
 
-use hemlocktack_fleet::membership::{Action, Membership, MembershipSettings, Safeguard};
+use hemlocktack_fleet::membership::{
+    Membership, MembershipAction, MembershipSafeguard, MembershipSettings,
+};
 use hemlocktack_protocol::{Member, NodeState};
 
 use crate::support::{accusation, address, node, record, rng, tell};
@@ -55,7 +57,8 @@
         ..record(5, 1_000)
     };
     let actions = tell(&mut membership, now, vec![replacement]);
-    let is_superseded = |action: &Action| matches!(action, Action::Superseded { by: 99 });
+    let is_superseded =
+        |action: &MembershipAction| matches!(action, MembershipAction::Superseded { by: 99 });
     assert!(actions.iter().any(is_superseded));
 }
 
@@ -67,7 +70,7 @@
     let mut membership = node(0, now);
     let actions = tell(&mut membership, now, vec![accusation(0, 1, 4)]);
     assert_eq!(membership.own().version, 5);
-    let Some(Action::Send { to, gossip }) = actions.first() else {
+    let Some(MembershipAction::Send { to, gossip }) = actions.first() else {
         panic!("no answer");
     };
     assert_eq!(*to, address(900));
@@ -99,7 +102,7 @@
 fn a_late_word_does_not_bring_back_who_left() {
     assert!(!is_back_after_late_word(MembershipSettings::default()));
     let forgetful = MembershipSettings {
-        without: Some(Safeguard::Tombstones),
+        disabled_safeguard: Some(MembershipSafeguard::Tombstones),
         ..MembershipSettings::default()
     };
     assert!(is_back_after_late_word(forgetful));
@@ -121,7 +124,7 @@
     }
     tell(&mut membership, now, vec![record(1, 7)]);
     let peer = membership.peer("node-001");
-    peer.is_some_and(|peer| peer.takes_new_work())
+    peer.is_some_and(|peer| peer.accepts_new_calls())
 }
 
 /// A node was cut off while another left. It comes back and tells of that one
@@ -139,8 +142,8 @@
     tell(&mut membership, now, vec![record(1, 7)]);
     tell(&mut membership, now, vec![left.clone()]);
     let actions = tell(&mut membership, now, vec![record(1, 7)]);
-    let is_told = |action: &Action| match action {
-        Action::Send { gossip, .. } => gossip.members.contains(&left),
+    let is_told = |action: &MembershipAction| match action {
+        MembershipAction::Send { gossip, .. } => gossip.members.contains(&left),
         _ => false,
     };
     assert!(actions.iter().any(is_told), "{actions:?}");
--- a/crates/hemlocktack-fleet/tests/membership/restart.rs
+++ b/crates/hemlocktack-fleet/tests/membership/restart.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use hemlocktack_fleet::membership::{Action, Membership};
+use hemlocktack_fleet::membership::{Membership, MembershipAction};
 use hemlocktack_protocol::Gossip;
 
 use crate::support::{address, node, rng};
@@ -50,9 +50,9 @@
     assert_eq!(known, [usize::from(NODES) - 1; NODES as usize]);
 }
 
-fn post(on_the_way: &mut VecDeque<Datagram>, from: SocketAddr, actions: Vec<Action>) {
+fn post(on_the_way: &mut VecDeque<Datagram>, from: SocketAddr, actions: Vec<MembershipAction>) {
     for action in actions {
-        if let Action::Send { to, gossip } = action {
+        if let MembershipAction::Send { to, gossip } = action {
             let gossip = *gossip;
             on_the_way.push_back(Datagram { from, to, gossip });
         }
--- a/crates/hemlocktack-fleet/tests/membership/support.rs
+++ b/crates/hemlocktack-fleet/tests/membership/support.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-use hemlocktack_fleet::membership::{Action, Membership, MembershipSettings};
+use hemlocktack_fleet::membership::{Membership, MembershipAction, MembershipSettings};
 use hemlocktack_protocol::{Gossip, Member, NodeState, UpstreamState};
 use proptest::prelude::ProptestConfig;
 use proptest::test_runner::RngSeed;
@@ -69,6 +69,10 @@
     }
 }
 
-pub(crate) fn tell(membership: &mut Membership, now: Instant, members: Vec<Member>) -> Vec<Action> {
+pub(crate) fn tell(
+    membership: &mut Membership,
+    now: Instant,
+    members: Vec<Member>,
+) -> Vec<MembershipAction> {
     membership.receive(now, address(900), news(members), &mut rng())
 }
--- a/crates/hemlocktack-fleet/tests/membership/urgent_news.rs
+++ b/crates/hemlocktack-fleet/tests/membership/urgent_news.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-use hemlocktack_fleet::drain::Publication;
-use hemlocktack_fleet::membership::Action;
+use hemlocktack_fleet::drain::PublishedState;
+use hemlocktack_fleet::membership::MembershipAction;
 use hemlocktack_protocol::{Member, NodeState, UpstreamState};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -36,7 +36,7 @@
         let now = Instant::now();
         let mut membership = node(0, now);
         tell(&mut membership, now, (1..NODES).map(member).collect());
-        let draining = Publication {
+        let draining = PublishedState {
             state: NodeState::Ready,
             upstream: UpstreamState::Draining,
             slots: 4,
@@ -45,7 +45,7 @@
         let targets: BTreeSet<_> = actions
             .iter()
             .filter_map(|action| match action {
-                Action::Send { to, .. } => Some(*to),
+                MembershipAction::Send { to, .. } => Some(*to),
                 _ => None,
             })
             .collect();
--- a/crates/hemlocktack-node/src/calls/context.rs
+++ b/crates/hemlocktack-node/src/calls/context.rs
@@ -65,9 +65,10 @@
             depth: call.depth,
             is_repeat: call.is_repeat,
             allowance: Arc::new(RetryAllowance::new(call.retries_given)),
-            children: Mutex::new(
-                nonce.map_or_else(ChildCalls::of_idempotent, ChildCalls::of_ticketed),
-            ),
+            children: Mutex::new(nonce.map_or_else(
+                ChildCalls::for_idempotent_parent,
+                ChildCalls::for_ticketed_parent,
+            )),
             trace: TraceContext::parse(&call.traceparent),
             started: Instant::now(),
             work_spent_before: Duration::from_micros(call.work_spent_us),
--- a/crates/hemlocktack-node/src/calls/home.rs
+++ b/crates/hemlocktack-node/src/calls/home.rs
@@ -5,7 +5,7 @@
 
 use futures::future::BoxFuture;
 use hemlocktack_decide::may_move;
-use hemlocktack_fleet::tickets::{Nonce, Start, Ticket};
+use hemlocktack_fleet::tickets::{Nonce, StartDecision, Ticket};
 use hemlocktack_protocol::{Answer, Call, CallPurpose, Outcome, Reason, Unfinished};
 
 use super::deliver::{Delivery, send_with_allowance};
@@ -39,16 +39,16 @@
     let retries_given = call.retries_given;
     let (start, end) = node.home.start(&ticket, call.fingerprint);
     let answer = match start {
-        Start::Run => {
+        StartDecision::Run => {
             // Apart from this send: its link or its caller may go while the
             // request runs, and a re-send must find the end all the same.
             tokio::spawn(boxed_run(node.clone(), call, ticket.nonce, deadline));
             return wait_for_end(end, deadline).await;
         }
-        Start::Join => wait_for_end(end, deadline).await,
-        Start::Answered(answer) => Arc::unwrap_or_clone(answer),
-        Start::AnswerNotKept => unknown(Reason::AnswerNotKept),
-        Start::Refused(refused) => from_unfinished(refused),
+        StartDecision::Join => wait_for_end(end, deadline).await,
+        StartDecision::Answered(answer) => Arc::unwrap_or_clone(answer),
+        StartDecision::AnswerNotKept => unknown(Reason::AnswerNotKept),
+        StartDecision::Refused(refused) => from_unfinished(refused),
     };
     // Only the send that began the run can have spent retries.
     Answer {
@@ -129,7 +129,7 @@
     if let Some(reason) = refuses_all(node, call) {
         return not_run(reason, None);
     }
-    let started = || node.home.table().started(nonce).is_ok();
+    let started = || node.home.table().mark_started(nonce).is_ok();
     let answer = run(
         node,
         RunOrder {
@@ -143,7 +143,7 @@
     if answer.outcome() == Outcome::NotRun {
         // The upstream may have shed it after the start was recorded. The call
         // is still this task's alone, so a ticket that was not started stays so.
-        let _ = node.home.table().give_back(nonce);
+        let _ = node.home.table().requeue(nonce);
     }
     answer
 }
@@ -171,7 +171,7 @@
     let Delivery { answer, .. } = send_with_allowance(node, peer, call, deadline, &allowance).await;
     open_send.end(&answer);
     if answer.outcome() == Outcome::NotRun {
-        let given_back = node.home.table().give_back_from(nonce, &peer.identity);
+        let given_back = node.home.table().requeue_from(nonce, &peer.identity);
         if given_back.is_err() {
             return unknown(Reason::Fenced);
         }
--- a/crates/hemlocktack-node/src/calls/home_table.rs
+++ b/crates/hemlocktack-node/src/calls/home_table.rs
@@ -4,7 +4,9 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use hemlocktack_fleet::NodeIncarnation;
-use hemlocktack_fleet::tickets::{End, Nonce, Start, TableLimits, Ticket, TicketTable};
+use hemlocktack_fleet::tickets::{
+    Nonce, StartDecision, TableLimits, Ticket, TicketOutcome, TicketTable,
+};
 use hemlocktack_protocol::{Answer, Fingerprint, Outcome};
 use tokio::sync::watch;
 
@@ -65,16 +67,16 @@
         &self,
         ticket: &Ticket,
         fingerprint: Fingerprint,
-    ) -> (Start, Option<EndReceiver>) {
+    ) -> (StartDecision, Option<EndReceiver>) {
         let mut ends = self.ends();
         let start = self.table().start(ticket, fingerprint);
         let end = match start {
-            Start::Run => {
+            StartDecision::Run => {
                 let (sender, receiver) = watch::channel(None);
                 ends.insert(ticket.nonce, sender);
                 Some(receiver)
             }
-            Start::Join => ends.get(&ticket.nonce).map(watch::Sender::subscribe),
+            StartDecision::Join => ends.get(&ticket.nonce).map(watch::Sender::subscribe),
             _ => None,
         };
         (start, end)
@@ -85,15 +87,17 @@
         let mut answer = Arc::new(answer);
         let mut ends = self.ends();
         let recorded = match answer.outcome() {
-            Outcome::Answered => self.table().answer(nonce, answer.clone()),
+            Outcome::Answered => self.table().record_answer(nonce, answer.clone()),
             Outcome::NotRun => self.table().refuse(nonce, answer.reason()),
-            Outcome::Unknown | Outcome::Unspecified => self.table().give_up(nonce, answer.reason()),
+            Outcome::Unknown | Outcome::Unspecified => {
+                self.table().record_unknown(nonce, answer.reason())
+            }
         };
         // The freeze of a handover fenced it while it waited: the successor
         // says so too, and both must say the same.
         if recorded.is_err() {
-            answer = Arc::new(match self.table().end_of(nonce) {
-                Some(End::NotRun(reason)) => not_run(reason, None),
+            answer = Arc::new(match self.table().outcome_of(nonce) {
+                Some(TicketOutcome::NotRun(reason)) => not_run(reason, None),
                 _ => unknown(answer.reason()),
             });
         }
--- a/crates/hemlocktack-node/src/calls/ticketed.rs
+++ b/crates/hemlocktack-node/src/calls/ticketed.rs
@@ -70,7 +70,7 @@
 fn not_a_ticket(node: &Node, classified: &Classified, error: TicketError) -> Answer {
     match error {
         TicketError::Foreign => unknown(error.reason()),
-        TicketError::Malformed | TicketError::Name => Answer {
+        TicketError::Malformed | TicketError::InvalidName => Answer {
             fresh_ticket: fresh_ticket(node, classified).unwrap_or_default(),
             ..not_run(error.reason(), None)
         },
--- a/crates/hemlocktack-node/src/configuration/follow.rs
+++ b/crates/hemlocktack-node/src/configuration/follow.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use hemlocktack_fleet::configuration::{
-    ConfigurationAction, ConfigurationSettings, InForce, PeersView, watches_platform,
+    ConfigurationAction, ConfigurationSettings, ConfigurationState, PeerView, watches_platform,
 };
 use hemlocktack_platform::{ConfigurationStore, Error, Revision, SeenConfiguration};
 use hemlocktack_protocol::{
@@ -64,7 +64,7 @@
     let follower = Follower {
         watchers: settings.watchers_per_data_centre,
         pull_timeout: settings.pull_timeout,
-        in_force: InForce::new(settings, Instant::now()),
+        in_force: ConfigurationState::new(settings, Instant::now()),
         store: Arc::new(ConfigurationStore::new(node.platform.clone())),
         unreadable: String::new(),
         revision: 0,
@@ -78,7 +78,7 @@
 struct Follower {
     node: Arc<Node>,
     store: Arc<ConfigurationStore>,
-    in_force: InForce,
+    in_force: ConfigurationState,
     watchers: usize,
     pull_timeout: Duration,
     /// What is wrong with the last document that could not be read.
@@ -113,10 +113,10 @@
                 node_id,
                 generation,
             } => {
-                self.in_force.hear(&node_id, generation);
+                self.in_force.peer_announced(&node_id, generation);
                 self.in_force.tick(now, &self.view(), &mut self.rng)
             }
-            Event::StoredLocally(document) => self.in_force.stored_here(document),
+            Event::StoredLocally(document) => self.in_force.stored_locally(document),
             Event::PlatformAnswered(seen) => self.platform_answered(now, seen),
             Event::RevisionGone => {
                 self.in_force.revision_gone(now);
@@ -170,7 +170,7 @@
     fn act(&mut self, actions: Vec<ConfigurationAction>) {
         for action in actions {
             match action {
-                ConfigurationAction::AskPlatform { wait, .. } => self.ask_platform(wait),
+                ConfigurationAction::ReadPlatform { wait, .. } => self.ask_platform(wait),
                 ConfigurationAction::Pull { node_id, above } => self.pull(node_id, above),
                 ConfigurationAction::Install { document } => {
                     self.node.install_configuration(document);
@@ -182,7 +182,8 @@
                 }
                 ConfigurationAction::CaughtUp => {
                     log_event!(LogEvent::NodeReady);
-                    self.node.update_lifecycle(|life, _| life.caught_up());
+                    self.node
+                        .update_lifecycle(|life, _| life.configuration_caught_up());
                 }
             }
         }
@@ -221,7 +222,7 @@
         });
     }
 
-    fn view(&self) -> PeersView {
+    fn view(&self) -> PeerView {
         let members = self.node.members();
         let own_id = &*self.node.identity.node_id;
         let others = || members.iter().filter(|member| member.node_id != own_id);
@@ -233,7 +234,7 @@
         // Only a starting node asks peers that have not said anything.
         let is_asked = !self.in_force.is_caught_up();
         let ready = others().filter(is_ready).filter(|_| is_asked);
-        PeersView {
+        PeerView {
             ready: ready.map(|member| member.node_id.clone()).collect(),
             is_watcher: watches_platform(
                 own_id,
--- a/crates/hemlocktack-node/src/handover/give.rs
+++ b/crates/hemlocktack-node/src/handover/give.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use hemlocktack_fleet::NodeIncarnation;
-use hemlocktack_fleet::handover::{Leaving, Progress};
+use hemlocktack_fleet::handover::{HandoverProgress, OutgoingHandover};
 use hemlocktack_protocol::{Handover, NodeState, frame};
 
 use crate::links::Peer;
@@ -29,7 +29,7 @@
 
 /// Hands over all tickets; `None` if no successor confirmed that it has them.
 pub(crate) async fn give(node: &Arc<Node>) -> Option<NodeIncarnation> {
-    let mut leaving = Leaving::begin(&mut node.home.table());
+    let mut leaving = OutgoingHandover::begin(&mut node.home.table());
     let begun = Instant::now();
     while begun.elapsed() < LIMIT {
         let successors = successors(node);
@@ -78,20 +78,20 @@
     successors
 }
 
-async fn offer(node: &Arc<Node>, leaving: &mut Leaving, successor: &Successor) -> bool {
+async fn offer(node: &Arc<Node>, leaving: &mut OutgoingHandover, successor: &Successor) -> bool {
     let mut frames = leaving.offer(&successor.name);
     loop {
-        let mut progress = Progress::Waiting;
+        let mut progress = HandoverProgress::Waiting;
         for frame in frames {
             progress = match send(node, leaving, successor, frame).await {
-                Some(Progress::Refused) | None => return false,
+                Some(HandoverProgress::Refused) | None => return false,
                 Some(progress) => progress,
             };
         }
         match progress {
-            Progress::Finished => return true,
-            Progress::Commit(commit) => frames = commit,
-            Progress::Waiting | Progress::Refused => return false,
+            HandoverProgress::Finished => return true,
+            HandoverProgress::Commit(commit) => frames = commit,
+            HandoverProgress::Waiting | HandoverProgress::Refused => return false,
         }
     }
 }
@@ -99,10 +99,10 @@
 /// `None`: no answer of this very start of the successor.
 async fn send(
     node: &Arc<Node>,
-    leaving: &mut Leaving,
+    leaving: &mut OutgoingHandover,
     successor: &Successor,
     part: Handover,
-) -> Option<Progress> {
+) -> Option<HandoverProgress> {
     let deadline = Instant::now() + PART_TIMEOUT;
     let question = |query_id| frame::Body::Handover(Handover { query_id, ..part });
     let answer = node
@@ -117,5 +117,5 @@
     let frame::Body::HandoverAccepted(accepted) = answer else {
         return None;
     };
-    Some(leaving.accepted(&successor.name, &accepted))
+    Some(leaving.handle_accepted(&successor.name, &accepted))
 }
--- a/crates/hemlocktack-node/src/handover/take.rs
+++ b/crates/hemlocktack-node/src/handover/take.rs
@@ -22,7 +22,7 @@
         return refused;
     }
     let mut table = node.home.table();
-    match node.receiving().part(&mut table, from, frame) {
+    match node.receiving().handle_frame(&mut table, from, frame) {
         Ok(accepted) => {
             if accepted.committed {
                 log_event!(Event::HandoverTaken, home = accepted.home_node_id, %from);
--- a/crates/hemlocktack-node/src/links/senders.rs
+++ b/crates/hemlocktack-node/src/links/senders.rs
@@ -78,7 +78,7 @@
         came_over: &Connection,
     ) -> Option<CancellationToken> {
         let mut state = sender.state();
-        if self.arrivals().arrive(&sender.identity, call_id) != Arrival::New {
+        if self.arrivals().record_arrival(&sender.identity, call_id) != Arrival::New {
             return None;
         }
         let cancelled = CancellationToken::new();
--- a/crates/hemlocktack-node/src/node/lifecycle.rs
+++ b/crates/hemlocktack-node/src/node/lifecycle.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, PoisonError};
 use std::time::{Duration, Instant};
 
-use hemlocktack_fleet::drain::{Life, LifeAction, Publication};
+use hemlocktack_fleet::drain::{LifecycleAction, NodeLifecycle, PublishedState};
 use hemlocktack_protocol::NodeState;
 
 use super::Node;
@@ -64,7 +64,7 @@
     }
 
     /// What others are told of this node and its upstream.
-    pub(crate) fn publication(&self) -> Publication {
+    pub(crate) fn publication(&self) -> PublishedState {
         **self.publication.load()
     }
 
@@ -72,12 +72,12 @@
     /// is told to members at once.
     pub(crate) fn update_lifecycle(
         &self,
-        change: impl FnOnce(&mut Life, Instant) -> Vec<LifeAction>,
-    ) -> Vec<LifeAction> {
+        change: impl FnOnce(&mut NodeLifecycle, Instant) -> Vec<LifecycleAction>,
+    ) -> Vec<LifecycleAction> {
         let mut life = self.life.lock().unwrap_or_else(PoisonError::into_inner);
         let actions = change(&mut life, Instant::now());
         for action in &actions {
-            if let LifeAction::Publish(publication) = action {
+            if let LifecycleAction::Publish(publication) = action {
                 self.publication.store(Arc::new(*publication));
                 self.signals.own_record_changed.notify_one();
             }
--- a/crates/hemlocktack-node/src/node/members.rs
+++ b/crates/hemlocktack-node/src/node/members.rs
@@ -5,7 +5,7 @@
 
 use hemlocktack_decide::NodePosition;
 use hemlocktack_fleet::NodeIncarnation;
-use hemlocktack_fleet::handover::Receiving;
+use hemlocktack_fleet::handover::IncomingHandovers;
 use hemlocktack_protocol::{Member, NodeState, Succession};
 use hemlocktack_telemetry::{Event, log_event};
 
@@ -124,7 +124,7 @@
     }
 
     /// Tables of stopping nodes on their way here.
-    pub(crate) fn receiving(&self) -> MutexGuard<'_, Receiving> {
+    pub(crate) fn receiving(&self) -> MutexGuard<'_, IncomingHandovers> {
         self.receiving
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
--- a/crates/hemlocktack-node/src/node/mod.rs
+++ b/crates/hemlocktack-node/src/node/mod.rs
@@ -19,8 +19,8 @@
 use arc_swap::{ArcSwap, ArcSwapOption};
 use hemlocktack_decide::ChainEdges;
 use hemlocktack_fleet::NodeIncarnation;
-use hemlocktack_fleet::drain::{Life, Publication};
-use hemlocktack_fleet::handover::{HandoverLimits, Receiving};
+use hemlocktack_fleet::drain::{NodeLifecycle, PublishedState};
+use hemlocktack_fleet::handover::{HandoverLimits, IncomingHandovers};
 use hemlocktack_fleet::keys::FleetKeys;
 use hemlocktack_interface::Interface;
 use hemlocktack_platform::{Client, NodeRecords};
@@ -72,7 +72,7 @@
     pub(crate) connections: TaskTracker,
     stop_request: Notify,
     stop_began: OnceLock<Instant>,
-    receiving: Mutex<Receiving>,
+    receiving: Mutex<IncomingHandovers>,
     chain_edges: Mutex<ChainEdges>,
     active_configuration: ArcSwapOption<ActiveConfiguration>,
     members: ArcSwap<Vec<Member>>,
@@ -81,8 +81,8 @@
     pub(crate) records: NodeRecords,
     pub(crate) gossip_counts: GossipCounts,
     pub(crate) signals: Signals,
-    life: Mutex<Life>,
-    publication: ArcSwap<Publication>,
+    life: Mutex<NodeLifecycle>,
+    publication: ArcSwap<PublishedState>,
     upstream: ArcSwapOption<Announcement>,
     upstream_starts: Mutex<UpstreamStarts>,
     configuration_events: mpsc::Sender<follower::Event>,
@@ -121,7 +121,7 @@
     ) -> Self {
         let identity = NodeIncarnation::new(settings.node_id.clone(), rand::random());
         let (configuration_events, receiver) = mpsc::channel(CONFIGURATION_EVENTS_LIMIT);
-        let life = Life::new(
+        let life = NodeLifecycle::new(
             policies::drain_settings(&settings, &adjustable),
             Instant::now(),
         );
@@ -154,7 +154,7 @@
             connections: TaskTracker::new(),
             stop_request: Notify::new(),
             stop_began: OnceLock::new(),
-            receiving: Mutex::new(Receiving::new(HandoverLimits::default())),
+            receiving: Mutex::new(IncomingHandovers::new(HandoverLimits::default())),
             chain_edges: Mutex::default(),
             interface: interfaces::find(settings.interface),
             identity,
--- a/crates/hemlocktack-node/src/node/policies.rs
+++ b/crates/hemlocktack-node/src/node/policies.rs
@@ -31,7 +31,7 @@
     adjustable: &AdjustableSettings,
 ) -> DrainSettings {
     DrainSettings {
-        settle: match settings.interface {
+        min_drain_time: match settings.interface {
             InterfaceName::Own => DRAIN_SETTLE,
             InterfaceName::Cooperative => INTERFACE_DRAIN_SETTLE,
         },
@@ -44,7 +44,7 @@
             },
             ..UpstreamSettings::default()
         },
-        without: None,
+        disabled_safeguard: None,
     }
 }
 
--- a/crates/hemlocktack-node/src/node/upstream.rs
+++ b/crates/hemlocktack-node/src/node/upstream.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use hemlocktack_decide::{ShedLevel, WorkKind};
-use hemlocktack_fleet::drain::{self, Life};
+use hemlocktack_fleet::drain::{self, NodeLifecycle};
 use hemlocktack_protocol::UpstreamState;
 
 use super::Node;
@@ -61,7 +61,7 @@
 
     /// Takes the admission's lock inside that of the life, never the other way
     /// round: what one event decides is carried out before the next one.
-    fn admission_follows(&self, life: &Life, now: Instant) {
+    fn admission_follows(&self, life: &NodeLifecycle, now: Instant) {
         let announcement = self.upstream.load();
         let announcement = announcement.as_deref();
         let slots = announcement.map_or(0, |announcement| announcement.slots);
--- a/crates/hemlocktack-node/src/peers/gossip.rs
+++ b/crates/hemlocktack-node/src/peers/gossip.rs
@@ -8,7 +8,8 @@
 use hemlocktack_decide::Suspect;
 use hemlocktack_fleet::keys::{MAC_LENGTH_BYTES, MacPurpose};
 use hemlocktack_fleet::membership::{
-    Action, DatagramError, Membership, MembershipSettings, Peer, open_datagram, seal_datagram,
+    DatagramError, Membership, MembershipAction, MembershipSettings, Peer, open_datagram,
+    seal_datagram,
 };
 use hemlocktack_protocol::{Gossip, Member, NodeState, SuspectRequest};
 use hemlocktack_telemetry::{Event, log_event};
@@ -162,16 +163,16 @@
             return;
         }
         let suspects: Vec<SuspectRequest> = news.iter().map(suspect_request).collect();
-        let actions = self.membership.tell_suspects(&suspects);
+        let actions = self.membership.send_suspects(&suspects);
         self.act(actions).await;
     }
 
-    async fn act(&mut self, actions: Vec<Action>) {
+    async fn act(&mut self, actions: Vec<MembershipAction>) {
         for action in actions {
             match action {
-                Action::Send { to, gossip } => self.send(to, &gossip).await,
-                Action::MembersChanged => self.members_changed = true,
-                Action::GenerationHeard {
+                MembershipAction::Send { to, gossip } => self.send(to, &gossip).await,
+                MembershipAction::MembersChanged => self.members_changed = true,
+                MembershipAction::NewerGenerationSeen {
                     node_id,
                     generation,
                 } => self
@@ -180,8 +181,8 @@
                         node_id,
                         generation,
                     }),
-                Action::SuspectsHeard { suspects } => self.learn(&suspects),
-                Action::Superseded { by } => {
+                MembershipAction::SuspectsReceived { suspects } => self.learn(&suspects),
+                MembershipAction::Superseded { by } => {
                     log_event!(Event::RecordReplaced, by_incarnation = by);
                     self.node.request_stop();
                 }
--- a/crates/hemlocktack-node/src/stop.rs
+++ b/crates/hemlocktack-node/src/stop.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hemlocktack_fleet::drain::LifeAction;
+use hemlocktack_fleet::drain::LifecycleAction;
 use hemlocktack_telemetry::{Event, log_event};
 use tokio::signal::unix::{SignalKind, signal};
 
@@ -46,11 +46,11 @@
         let in_flight = usize::try_from(node.counters.in_flight()).unwrap_or(usize::MAX);
         for action in node.update_lifecycle(|life, now| life.check_stop(now, in_flight)) {
             match action {
-                LifeAction::ReportOverrun { in_flight } => {
+                LifecycleAction::ReportOverrun { in_flight } => {
                     log_event!(Event::DrainLimitReached, in_flight);
                 }
-                LifeAction::HandOver => return hand_over(node).await,
-                LifeAction::Publish(_) | LifeAction::Leave => {}
+                LifecycleAction::HandOver => return hand_over(node).await,
+                LifecycleAction::Publish(_) | LifecycleAction::Leave => {}
             }
         }
         tokio::time::sleep(DRAIN_POLL).await;
