--- a/crates/hemlocktack-cli/src/rpc/client.rs
+++ b/crates/hemlocktack-cli/src/rpc/client.rs
@@ -133,9 +133,9 @@
             Err(error) => return Failure::Final(self.unreachable(&error)),
         };
         let code = refusal.code.parse::<OperatorErrorCode>();
-        let is_passing = code.is_ok_and(OperatorErrorCode::is_passing);
+        let is_transient = code.is_ok_and(OperatorErrorCode::is_transient);
         let error = Error::Refused(refusal);
-        match is_passing {
+        match is_transient {
             true => Failure::Passing(error),
             false => Failure::Final(error),
         }
--- a/crates/hemlocktack-decide/benches/decisions.rs
+++ b/crates/hemlocktack-decide/benches/decisions.rs
@@ -9,7 +9,7 @@
     PeerLoad, PlacementPolicy, QueueDecision, RetryAllowance, RetryBudget, RetryPolicy,
     RetryPriority, RunResult, ShedLevel, decide_retry, place,
 };
-use hemlocktack_protocol::{LoadHint, Reason, Unfinished, UpstreamState};
+use hemlocktack_protocol::{CallFailure, LoadHint, Reason, UpstreamState};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
@@ -124,7 +124,7 @@
 fn retry(bencher: Bencher<'_, '_>) {
     let allowance = RetryAllowance::new(u32::MAX);
     let edge = EdgeRetryBudget::new(RetryPolicy::default(), Instant::now());
-    let unfinished = Unfinished::Unknown(Reason::UpstreamFailed);
+    let unfinished = CallFailure::Unknown(Reason::UpstreamFailed);
     bencher.bench_local(|| {
         edge.record_first_attempt(Instant::now());
         decide_retry(
--- a/crates/hemlocktack-decide/examples/scenarios/driver/entry_side.rs
+++ b/crates/hemlocktack-decide/examples/scenarios/driver/entry_side.rs
@@ -6,7 +6,7 @@
 use hemlocktack_decide::{
     RetryBudget, RetryDecision, RetryPriority, combined_outcome, decide_retry, may_move, place,
 };
-use hemlocktack_protocol::{LoadHint, Reason, Refusal, Unfinished};
+use hemlocktack_protocol::{CallFailure, LoadHint, Reason, Refusal};
 use rand::RngExt;
 
 use super::arena::{Call, CallEnd, CallKey, Place};
@@ -192,10 +192,10 @@
                 self.end_call(key, end);
                 return;
             }
-            CallEnd::Refused(refusal) => Unfinished::NotRun(refusal),
-            CallEnd::Crashed => Unfinished::Unknown(Reason::UpstreamFailed),
+            CallEnd::Refused(refusal) => CallFailure::NotRun(refusal),
+            CallEnd::Crashed => CallFailure::Unknown(Reason::UpstreamFailed),
         };
-        if let Unfinished::NotRun(refusal) = last
+        if let CallFailure::NotRun(refusal) = last
             && may_move(refusal.reason)
             && !call.moved
         {
@@ -203,12 +203,12 @@
             self.put(key, Some(index));
             return;
         }
-        let unknown = Unfinished::Unknown(Reason::UpstreamFailed);
+        let unknown = CallFailure::Unknown(Reason::UpstreamFailed);
         let earlier = call.may_have_run.then_some(unknown);
         call.may_have_run |= last == unknown;
         let end = match combined_outcome(earlier, last) {
-            Unfinished::Unknown(_) => CallEnd::Crashed,
-            Unfinished::NotRun(refusal) => CallEnd::Refused(refusal),
+            CallFailure::Unknown(_) => CallEnd::Crashed,
+            CallFailure::NotRun(refusal) => CallEnd::Refused(refusal),
         };
         let service = self.deployment.steps[call.step].service;
         let request = &self.arena.requests[&call.request];
--- a/crates/hemlocktack-decide/src/retry.rs
+++ b/crates/hemlocktack-decide/src/retry.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-use hemlocktack_protocol::{Reason, Unfinished};
+use hemlocktack_protocol::{CallFailure, Reason};
 
 use crate::edge_budget::{EdgeRetryBudget, RetryPriority};
 
@@ -75,9 +75,9 @@
     /// What an upstream turned away has cost it nothing, and the parts kept
     /// apart are for sends that may have run: so it draws on the part of the
     /// calls below, which is larger.
-    fn part_for(&self, unfinished: &Unfinished) -> &AtomicU32 {
+    fn part_for(&self, unfinished: &CallFailure) -> &AtomicU32 {
         match unfinished {
-            Unfinished::NotRun(refusal) if refusal.reason == Reason::UpstreamShed => &self.left,
+            CallFailure::NotRun(refusal) if refusal.reason == Reason::UpstreamShed => &self.left,
             _ => self.here(),
         }
     }
@@ -179,7 +179,7 @@
 /// request idempotent. A retry that cannot finish in the time left would be work
 /// for nobody.
 pub fn decide_retry(
-    unfinished: &Unfinished,
+    unfinished: &CallFailure,
     idempotent: bool,
     time_left: Duration,
     expected: Duration,
@@ -187,8 +187,8 @@
     now: Instant,
 ) -> RetryDecision {
     let safe = match unfinished {
-        Unfinished::NotRun(refusal) => is_passing_fault(refusal.reason),
-        Unfinished::Unknown(reason) => idempotent && is_passing_fault(*reason),
+        CallFailure::NotRun(refusal) => is_passing_fault(refusal.reason),
+        CallFailure::Unknown(reason) => idempotent && is_passing_fault(*reason),
     };
     if !safe {
         return RetryDecision::PassUp;
@@ -213,10 +213,10 @@
 /// a lie, as the first send may have run, and the caller would send it again as
 /// if nothing had happened. Unknown once is unknown in the end, unless a later
 /// send is answered.
-pub fn combined_outcome(earlier: Option<Unfinished>, last: Unfinished) -> Unfinished {
+pub fn combined_outcome(earlier: Option<CallFailure>, last: CallFailure) -> CallFailure {
     match earlier {
-        Some(Unfinished::Unknown(reason)) => Unfinished::Unknown(reason),
-        Some(Unfinished::NotRun(_)) | None => last,
+        Some(CallFailure::Unknown(reason)) => CallFailure::Unknown(reason),
+        Some(CallFailure::NotRun(_)) | None => last,
     }
 }
 
--- a/crates/hemlocktack-decide/src/sends.rs
+++ b/crates/hemlocktack-decide/src/sends.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hemlocktack_protocol::{Reason, Unfinished};
+use hemlocktack_protocol::{CallFailure, Reason};
 use strum::{EnumCount, EnumIter, IntoStaticStr};
 
 use crate::moves::Moves;
@@ -123,9 +123,9 @@
     }
 
     /// Counts the end of a send to this node.
-    pub fn send_ended(&mut self, node: usize, unfinished: &Unfinished) {
+    pub fn send_ended(&mut self, node: usize, unfinished: &CallFailure) {
         self.last = Some(node);
-        let may_have_run = matches!(unfinished, Unfinished::Unknown(_));
+        let may_have_run = matches!(unfinished, CallFailure::Unknown(_));
         let is_turned_away = unfinished.reason() == Reason::UpstreamShed;
         self.may_have_run += usize::from(may_have_run);
         self.turned_away += u32::from(is_turned_away);
@@ -139,16 +139,16 @@
     /// one; it is asked only where the call would be sent again with it.
     pub fn next_step(
         &mut self,
-        unfinished: &Unfinished,
+        unfinished: &CallFailure,
         has_node_left: bool,
         retry: impl FnOnce() -> RetryDecision,
     ) -> NextStep {
         match unfinished {
-            Unfinished::Unknown(_) if self.may_have_run >= self.upstreams_most => {
+            CallFailure::Unknown(_) if self.may_have_run >= self.upstreams_most => {
                 NextStep::UpstreamsUsedUp
             }
             _ if !has_node_left => NextStep::NoNodeLeft,
-            Unfinished::NotRun(refusal) if self.moves.take(refusal) => NextStep::Moved,
+            CallFailure::NotRun(refusal) if self.moves.take(refusal) => NextStep::Moved,
             _ => retry().into(),
         }
     }
--- a/crates/hemlocktack-decide/tests/retry.rs
+++ b/crates/hemlocktack-decide/tests/retry.rs
@@ -7,7 +7,7 @@
     EdgeRetryBudget, RetryAllowance, RetryBudget, RetryDecision, RetryPolicy, RetryPriority,
     combined_outcome, decide_retry,
 };
-use hemlocktack_protocol::{Reason, Refusal, Unfinished};
+use hemlocktack_protocol::{CallFailure, Reason, Refusal};
 use proptest::prelude::*;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -72,7 +72,7 @@
     let verdicts = [(); 2].map(|()| {
         // Gone for good with the child that is lost.
         allowance.grant_to_child();
-        let lost = Unfinished::Unknown(Reason::LinkLost);
+        let lost = CallFailure::Unknown(Reason::LinkLost);
         let (left, expected) = (Duration::from_secs(1), Duration::from_millis(100));
         decide_retry(
             &lost,
@@ -110,7 +110,7 @@
 #[test]
 fn what_is_retried() {
     let not_run = |reason| {
-        Unfinished::NotRun(Refusal {
+        CallFailure::NotRun(Refusal {
             reason,
             retry_after: None,
         })
@@ -122,9 +122,9 @@
         (not_run(Reason::Quarantined), true),
         (not_run(Reason::UpstreamUnreachable), false),
         (not_run(Reason::UpstreamShed), false),
-        (Unfinished::Unknown(Reason::UpstreamFailed), true),
-        (Unfinished::Unknown(Reason::UpstreamFailed), false),
-        (Unfinished::Unknown(Reason::Timeout), true),
+        (CallFailure::Unknown(Reason::UpstreamFailed), true),
+        (CallFailure::Unknown(Reason::UpstreamFailed), false),
+        (CallFailure::Unknown(Reason::Timeout), true),
     ];
     let verdicts = cases.map(|(unfinished, idempotent)| {
         let verdict = decide_retry(
@@ -150,7 +150,7 @@
 fn a_lookup_on_a_restarted_node_is_sent_again() {
     let verdict = |idempotent| {
         decide_retry(
-            &Unfinished::Unknown(Reason::HomeGone),
+            &CallFailure::Unknown(Reason::HomeGone),
             idempotent,
             Duration::from_secs(1),
             Duration::from_millis(100),
@@ -172,7 +172,7 @@
 #[test]
 fn a_lookup_gets_its_four_answers_where_every_other_call_is_turned_away() {
     const FOR_CHAIN: u32 = 24;
-    let turned_away = Unfinished::NotRun(Refusal {
+    let turned_away = CallFailure::NotRun(Refusal {
         reason: Reason::UpstreamShed,
         retry_after: None,
     });
@@ -201,7 +201,7 @@
 
 #[test]
 fn a_spent_allowance_or_too_little_time_ends_the_retries() {
-    let unfinished = Unfinished::Unknown(Reason::LinkLost);
+    let unfinished = CallFailure::Unknown(Reason::LinkLost);
     let edge = EdgeRetryBudget::new(RetryPolicy::default(), Instant::now());
     let verdict = |left, allowance: u32| {
         let allowance = RetryAllowance::new(allowance);
@@ -230,8 +230,8 @@
 /// the caller would send again what may have run.
 #[test]
 fn a_refused_retry_does_not_hide_that_the_first_send_may_have_run() {
-    let unknown = Unfinished::Unknown(Reason::UpstreamFailed);
-    let refused = Unfinished::NotRun(Refusal {
+    let unknown = CallFailure::Unknown(Reason::UpstreamFailed);
+    let refused = CallFailure::NotRun(Refusal {
         reason: Reason::NoUpstream,
         retry_after: None,
     });
--- a/crates/hemlocktack-decide/tests/sends.rs
+++ b/crates/hemlocktack-decide/tests/sends.rs
@@ -1,27 +1,27 @@
 //! The sends of one call: how many upstreams may run it, and what ends them.
 
 use hemlocktack_decide::{CallSends, NextStep, RetryDecision};
-use hemlocktack_protocol::{Reason, Refusal, Unfinished};
+use hemlocktack_protocol::{CallFailure, Reason, Refusal};
 use proptest::prelude::*;
 
-const LOST: Unfinished = Unfinished::Unknown(Reason::UpstreamFailed);
-const TURNED_AWAY: Unfinished = not_run(Reason::UpstreamShed);
-const FULL: Unfinished = not_run(Reason::QueueFull);
+const LOST: CallFailure = CallFailure::Unknown(Reason::UpstreamFailed);
+const TURNED_AWAY: CallFailure = not_run(Reason::UpstreamShed);
+const FULL: CallFailure = not_run(Reason::QueueFull);
 
-const fn not_run(reason: Reason) -> Unfinished {
-    Unfinished::NotRun(Refusal {
+const fn not_run(reason: Reason) -> CallFailure {
+    CallFailure::NotRun(Refusal {
         reason,
         retry_after: None,
     })
 }
 
-fn step(sends: &mut CallSends, node: usize, end: &Unfinished) -> NextStep {
+fn step(sends: &mut CallSends, node: usize, end: &CallFailure) -> NextStep {
     sends.send_ended(node, end);
     sends.next_step(end, true, || RetryDecision::Retry)
 }
 
 /// Sends a call to node after node, as long as another send follows.
-fn steps(upstreams_most: usize, ends: &[Unfinished]) -> Vec<NextStep> {
+fn steps(upstreams_most: usize, ends: &[CallFailure]) -> Vec<NextStep> {
     let mut sends = CallSends::new(upstreams_most);
     let mut steps = Vec::new();
     for (node, end) in ends.iter().enumerate() {
--- a/crates/hemlocktack-fleet/examples/randomised/world/home.rs
+++ b/crates/hemlocktack-fleet/examples/randomised/world/home.rs
@@ -1,7 +1,7 @@
 //! The home of a ticket: joins, starts, delegates, refuses.
 
 use hemlocktack_fleet::tickets::{Nonce, StartDecision, Ticket};
-use hemlocktack_protocol::{Answer, CallId, CallPurpose, Outcome, Reason, Unfinished};
+use hemlocktack_protocol::{Answer, CallFailure, CallId, CallPurpose, Outcome, Reason};
 
 use crate::world::events::NodeEvent;
 use crate::world::network::{Reach, unfinished, unfinished_for};
@@ -105,10 +105,10 @@
         }
     }
 
-    fn refused(&mut self, process: &mut Process, work: Work, asker: Asker, refused: Unfinished) {
+    fn refused(&mut self, process: &mut Process, work: Work, asker: Asker, refused: CallFailure) {
         let ignored = match refused {
-            Unfinished::Unknown(Reason::TicketExpired) => !self.safeguards.has(Safeguard::Expiry),
-            Unfinished::Unknown(Reason::Draining) => !self.safeguards.has(Safeguard::Freeze),
+            CallFailure::Unknown(Reason::TicketExpired) => !self.safeguards.has(Safeguard::Expiry),
+            CallFailure::Unknown(Reason::Draining) => !self.safeguards.has(Safeguard::Freeze),
             _ => false,
         };
         match (ignored, asker) {
--- a/crates/hemlocktack-fleet/src/tickets/start.rs
+++ b/crates/hemlocktack-fleet/src/tickets/start.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use hemlocktack_protocol::{Answer, Fingerprint, Reason, Refusal, Unfinished};
+use hemlocktack_protocol::{Answer, CallFailure, Fingerprint, Reason, Refusal};
 
 use crate::tickets::epochs::{EpochAge, EpochWindow};
 use crate::tickets::record::{Record, State, TicketOutcome};
@@ -25,7 +25,7 @@
     /// It has run and its answer is no longer kept.
     AnswerNotKept,
     /// It has not run and never will, or it may have run and never will again.
-    Refused(Unfinished),
+    Refused(CallFailure),
 }
 
 impl TicketTable {
@@ -42,16 +42,16 @@
         // Another start of this node may have run it; so may a home whose
         // table was dropped here.
         let Some(window) = window else {
-            return StartDecision::Refused(Unfinished::Unknown(Reason::HomeGone));
+            return StartDecision::Refused(CallFailure::Unknown(Reason::HomeGone));
         };
         match window.age(ticket.epoch) {
             EpochAge::Kept => {}
             // Its record may have gone with its epoch.
             EpochAge::Expired => {
-                return StartDecision::Refused(Unfinished::Unknown(Reason::TicketExpired));
+                return StartDecision::Refused(CallFailure::Unknown(Reason::TicketExpired));
             }
             EpochAge::NotReached => {
-                return StartDecision::Refused(Unfinished::Unknown(Reason::TicketForeign));
+                return StartDecision::Refused(CallFailure::Unknown(Reason::TicketForeign));
             }
         }
         let record = |state| Record {
@@ -75,7 +75,7 @@
             }
             // A fence made now would miss the successor. Asking it once it is
             // known is safe: a re-send of the same ticket always is.
-            Phase::Frozen => StartDecision::Refused(Unfinished::Unknown(Reason::Draining)),
+            Phase::Frozen => StartDecision::Refused(CallFailure::Unknown(Reason::Draining)),
         }
     }
 
@@ -88,7 +88,7 @@
     ) -> StartDecision {
         let same_home = window.is_none_or(|window| window.number == record.home_number);
         if record.epoch != ticket.epoch || !same_home {
-            return StartDecision::Refused(Unfinished::Unknown(Reason::TicketForeign));
+            return StartDecision::Refused(CallFailure::Unknown(Reason::TicketForeign));
         }
         if record.fingerprint != fingerprint {
             return StartDecision::Refused(not_run(Reason::TicketForeign));
@@ -102,13 +102,13 @@
                 None => StartDecision::AnswerNotKept,
             },
             TicketOutcome::NotRun(reason) => StartDecision::Refused(not_run(reason)),
-            TicketOutcome::Unknown(reason) => StartDecision::Refused(Unfinished::Unknown(reason)),
+            TicketOutcome::Unknown(reason) => StartDecision::Refused(CallFailure::Unknown(reason)),
         }
     }
 }
 
-fn not_run(reason: Reason) -> Unfinished {
-    Unfinished::NotRun(Refusal {
+fn not_run(reason: Reason) -> CallFailure {
+    CallFailure::NotRun(Refusal {
         reason,
         retry_after: None,
     })
--- a/crates/hemlocktack-fleet/tests/at_most_once/handover.rs
+++ b/crates/hemlocktack-fleet/tests/at_most_once/handover.rs
@@ -5,7 +5,7 @@
     HandoverError, HandoverLimits, HandoverProgress, IncomingHandovers, OutgoingHandover,
 };
 use hemlocktack_fleet::tickets::{StartDecision, TableLimits, TicketTable};
-use hemlocktack_protocol::{Answer, Handover, HandoverAccepted, Reason, Refusal, Unfinished};
+use hemlocktack_protocol::{Answer, CallFailure, Handover, HandoverAccepted, Reason, Refusal};
 
 use crate::{FINGERPRINT, answer, home, peer, table, ticket};
 
@@ -66,13 +66,13 @@
     let mut home_table = home_with_every_end();
     let mut leaving = OutgoingHandover::begin(&mut home_table);
     assert!(home_table.mark_started(4).is_err());
-    let unknown = StartDecision::Refused(Unfinished::Unknown(Reason::Draining));
+    let unknown = StartDecision::Refused(CallFailure::Unknown(Reason::Draining));
     assert_eq!(home_table.start(&ticket(9), FINGERPRINT), unknown);
 
     let mut successor = Successor::new("dum-dum-1");
     let offered = leaving.offer(&successor.name);
     let replies = successor.take(offered);
-    let gone = StartDecision::Refused(Unfinished::Unknown(Reason::HomeGone));
+    let gone = StartDecision::Refused(CallFailure::Unknown(Reason::HomeGone));
     assert_eq!(successor.table.start(&ticket(9), FINGERPRINT), gone);
     let HandoverProgress::Commit(commit) = last_progress(&mut leaving, &successor.name, &replies)
     else {
@@ -88,7 +88,7 @@
         reason: Reason::Fenced,
         retry_after: None,
     };
-    let fenced = StartDecision::Refused(Unfinished::NotRun(fenced));
+    let fenced = StartDecision::Refused(CallFailure::NotRun(fenced));
     let expected = [
         (1, StartDecision::Answered(answer("booked"))),
         (2, fenced.clone()),
@@ -107,7 +107,7 @@
         reason: Reason::TicketForeign,
         retry_after: None,
     };
-    let of_other_request = StartDecision::Refused(Unfinished::NotRun(of_other_request));
+    let of_other_request = StartDecision::Refused(CallFailure::NotRun(of_other_request));
     assert_eq!(
         successor.table.start(&ticket(1), FINGERPRINT + 1),
         of_other_request
@@ -147,7 +147,7 @@
         second.table.start(&ticket(9), FINGERPRINT),
         StartDecision::Run
     );
-    let gone = StartDecision::Refused(Unfinished::Unknown(Reason::HomeGone));
+    let gone = StartDecision::Refused(CallFailure::Unknown(Reason::HomeGone));
     assert_eq!(first.table.start(&ticket(9), FINGERPRINT), gone);
 }
 
--- a/crates/hemlocktack-fleet/tests/at_most_once/table.rs
+++ b/crates/hemlocktack-fleet/tests/at_most_once/table.rs
@@ -1,18 +1,18 @@
 use hemlocktack_fleet::NodeIncarnation;
 use hemlocktack_fleet::tickets::{StartDecision, TableLimits, Ticket, TicketTable, WrongState};
-use hemlocktack_protocol::{Reason, Refusal, Unfinished};
+use hemlocktack_protocol::{CallFailure, Reason, Refusal};
 
 use crate::{FINGERPRINT, SERVICE, answer, home, keys, peer, table, ticket};
 
 fn not_run(reason: Reason) -> StartDecision {
-    StartDecision::Refused(Unfinished::NotRun(Refusal {
+    StartDecision::Refused(CallFailure::NotRun(Refusal {
         reason,
         retry_after: None,
     }))
 }
 
 fn unknown(reason: Reason) -> StartDecision {
-    StartDecision::Refused(Unfinished::Unknown(reason))
+    StartDecision::Refused(CallFailure::Unknown(reason))
 }
 
 fn issue(home: NodeIncarnation, epoch: u64, nonce: u128) -> Ticket {
--- a/crates/hemlocktack-node/src/callers/request.rs
+++ b/crates/hemlocktack-node/src/callers/request.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use hemlocktack_protocol::{
     CALLER_KIND_HEADER, CONTEXT_HEADER, Header, IDEMPOTENCY_KEY_HEADER, Reason, ServiceName,
-    TIMEOUT_HEADER, TRACEPARENT_HEADER, is_own_header,
+    TIMEOUT_HEADER, TRACEPARENT_HEADER, is_reserved_header,
 };
 use rocket::Request;
 
@@ -75,7 +75,7 @@
 
 /// Whether a header goes on to the next party.
 pub(crate) fn is_passed_on(name: &str) -> bool {
-    !is_own_header(name)
+    !is_reserved_header(name)
         && !name.eq_ignore_ascii_case(HOST_HEADER)
         && !CONNECTION_HEADERS
             .iter()
--- a/crates/hemlocktack-node/src/calls/ends.rs
+++ b/crates/hemlocktack-node/src/calls/ends.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use hemlocktack_decide::RetryAfterPolicy;
-use hemlocktack_protocol::{Answer, Outcome, Reason, Refusal, Unfinished};
+use hemlocktack_protocol::{Answer, CallFailure, Outcome, Reason, Refusal};
 
 /// Pressure behind a refusal that has other causes than load.
 pub(crate) const NOTHING_SHED: f64 = 0.0;
@@ -86,18 +86,18 @@
 }
 
 /// The end of a call as the decisions see it; `None` for an answer.
-pub(super) fn unfinished(answer: &Answer) -> Option<Unfinished> {
+pub(super) fn unfinished(answer: &Answer) -> Option<CallFailure> {
     let reason = answer.reason();
     match answer.outcome() {
         Outcome::Answered => None,
         Outcome::NotRun => {
             let retry_after = (answer.retry_after_ms > 0)
                 .then(|| Duration::from_millis(answer.retry_after_ms.into()));
-            Some(Unfinished::NotRun(Refusal {
+            Some(CallFailure::NotRun(Refusal {
                 reason,
                 retry_after,
             }))
         }
-        Outcome::Unknown | Outcome::Unspecified => Some(Unfinished::Unknown(reason)),
+        Outcome::Unknown | Outcome::Unspecified => Some(CallFailure::Unknown(reason)),
     }
 }
--- a/crates/hemlocktack-node/src/calls/home.rs
+++ b/crates/hemlocktack-node/src/calls/home.rs
@@ -6,7 +6,7 @@
 use futures::future::BoxFuture;
 use hemlocktack_decide::may_move;
 use hemlocktack_fleet::tickets::{Nonce, StartDecision, Ticket};
-use hemlocktack_protocol::{Answer, Call, CallPurpose, Outcome, Reason, Unfinished};
+use hemlocktack_protocol::{Answer, Call, CallFailure, CallPurpose, Outcome, Reason};
 
 use super::deliver::{Delivery, send_with_allowance};
 use super::ends::unfinished;
@@ -72,10 +72,10 @@
     }
 }
 
-fn from_unfinished(unfinished: Unfinished) -> Answer {
+fn from_unfinished(unfinished: CallFailure) -> Answer {
     match unfinished {
-        Unfinished::NotRun(refusal) => not_run(refusal.reason, refusal.retry_after),
-        Unfinished::Unknown(reason) => unknown(reason),
+        CallFailure::NotRun(refusal) => not_run(refusal.reason, refusal.retry_after),
+        CallFailure::Unknown(reason) => unknown(reason),
     }
 }
 
@@ -99,7 +99,7 @@
         .and_then(|view| own_index(&node, &view));
     for _ in 0..DELEGATIONS_MAX {
         let may_go_on = unfinished(&answer).is_some_and(|unfinished| {
-            matches!(unfinished, Unfinished::NotRun(refusal) if may_move(refusal.reason))
+            matches!(unfinished, CallFailure::NotRun(refusal) if may_move(refusal.reason))
         });
         if !may_go_on {
             break;
--- a/crates/hemlocktack-node/src/calls/place.rs
+++ b/crates/hemlocktack-node/src/calls/place.rs
@@ -7,7 +7,7 @@
     CallSends, NextStep, PeerLoad, PlacementPolicy, QuarantineStatus, RetryBudget, RetryDecision,
     RetryPriority, cap_to_objective, decide_retry, place,
 };
-use hemlocktack_protocol::{Answer, Call, CallPurpose, Reason, Refusal, Unfinished};
+use hemlocktack_protocol::{Answer, Call, CallFailure, CallPurpose, Reason, Refusal};
 use hemlocktack_telemetry::{Event, log_event};
 
 use super::Classified;
@@ -73,7 +73,7 @@
     node: &Node,
     classified: &Classified,
     peer: &PeerEntry,
-    unfinished: &Unfinished,
+    unfinished: &CallFailure,
     next: NextStep,
     sends: &CallSends,
 ) {
@@ -228,7 +228,7 @@
 /// Takes a retry from the allowance and the edge, if one may be made.
 fn take_retry(
     node: &Node,
-    unfinished: &Unfinished,
+    unfinished: &CallFailure,
     classified: &Classified,
     view: &ServiceView,
     expected: Duration,
--- a/crates/hemlocktack-node/src/calls/tries.rs
+++ b/crates/hemlocktack-node/src/calls/tries.rs
@@ -1,7 +1,7 @@
 //! The sends of one call so far, and what its caller is told in the end.
 
 use hemlocktack_decide::{CallSends, combined_outcome};
-use hemlocktack_protocol::{Answer, Reason, Unfinished};
+use hemlocktack_protocol::{Answer, CallFailure, Reason};
 
 use super::Classified;
 use super::ends::{NOTHING_SHED, not_run, wait_before_return};
@@ -16,7 +16,7 @@
 }
 
 struct Told {
-    unfinished: Unfinished,
+    unfinished: CallFailure,
     answer: Answer,
 }
 
@@ -37,7 +37,7 @@
     }
 
     /// Takes in the end of a send to this node.
-    pub(super) fn ended(&mut self, node: usize, unfinished: Unfinished, answer: Answer) {
+    pub(super) fn ended(&mut self, node: usize, unfinished: CallFailure, answer: Answer) {
         self.sends.send_ended(node, &unfinished);
         let earlier = self.told.as_ref().map(|told| told.unfinished);
         if earlier.is_none_or(|earlier| combined_outcome(Some(earlier), unfinished) != earlier) {
--- a/crates/hemlocktack-node/src/settings/read.rs
+++ b/crates/hemlocktack-node/src/settings/read.rs
@@ -7,7 +7,7 @@
 use derive_more::{Display, Error};
 use hemlocktack_fleet::membership::NODE_ID_LIMIT_BYTES;
 use hemlocktack_platform::PlatformRates;
-use hemlocktack_protocol::parse_time;
+use hemlocktack_protocol::parse_duration;
 
 use super::flags::{self, FLAGS, Flag, environment_name};
 use super::{AdjustableSettings, InterfaceName, LogFormat, Settings};
@@ -305,7 +305,7 @@
 
     fn time(&mut self, name: &str) -> Option<Duration> {
         let text = self.value(name)?;
-        let read = parse_time(&text);
+        let read = parse_duration(&text);
         if read.is_none() {
             self.find(
                 name,
--- a/crates/hemlocktack-protocol/src/headers.rs
+++ b/crates/hemlocktack-protocol/src/headers.rs
@@ -31,6 +31,6 @@
 
 /// Whether the system sets this header itself, so that a caller's or an
 /// upstream's value is not passed through unread.
-pub fn is_own_header(name: &str) -> bool {
+pub fn is_reserved_header(name: &str) -> bool {
     OWN_HEADERS.iter().any(|own| own.eq_ignore_ascii_case(name))
 }
--- a/crates/hemlocktack-protocol/src/lib.rs
+++ b/crates/hemlocktack-protocol/src/lib.rs
@@ -14,13 +14,13 @@
 pub use generated::*;
 pub use headers::{
     CALLER_KIND_HEADER, CONTEXT_HEADER, IDEMPOTENCY_KEY_HEADER, OUTCOME_HEADER, REASON_HEADER,
-    RETRY_AFTER_HEADER, TIMEOUT_HEADER, TRACEPARENT_HEADER, is_own_header,
+    RETRY_AFTER_HEADER, TIMEOUT_HEADER, TRACEPARENT_HEADER, is_reserved_header,
 };
 pub use ids::{
     CallId, ClassRank, DataCentre, Fingerprint, Generation, Incarnation, NodeId, RootRequestId,
     ServiceName,
 };
 pub use operators::{OPERATORS_SERVICE, OperatorErrorCode};
-pub use outcome::{Refusal, Unfinished};
+pub use outcome::{CallFailure, Refusal};
 pub use stable_hash::stable_hash;
-pub use time::parse_time;
+pub use time::parse_duration;
--- a/crates/hemlocktack-protocol/src/operators.rs
+++ b/crates/hemlocktack-protocol/src/operators.rs
@@ -59,7 +59,7 @@
     }
 
     /// Whether the same request may succeed a little later.
-    pub fn is_passing(self) -> bool {
+    pub fn is_transient(self) -> bool {
         self.status() == 503
     }
 }
--- a/crates/hemlocktack-protocol/src/outcome.rs
+++ b/crates/hemlocktack-protocol/src/outcome.rs
@@ -18,7 +18,7 @@
 
 /// A call that ended without an answer.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum Unfinished {
+pub enum CallFailure {
     /// Proved not to have run.
     #[display("{_0}")]
     NotRun(Refusal),
@@ -27,20 +27,20 @@
     Unknown(Reason),
 }
 
-impl Unfinished {
+impl CallFailure {
     /// Outcome as it goes into frames and headers.
     pub fn outcome(&self) -> Outcome {
         match self {
-            Unfinished::NotRun(_) => Outcome::NotRun,
-            Unfinished::Unknown(_) => Outcome::Unknown,
+            CallFailure::NotRun(_) => Outcome::NotRun,
+            CallFailure::Unknown(_) => Outcome::Unknown,
         }
     }
 
     /// Reason as it goes into frames and headers.
     pub fn reason(&self) -> Reason {
         match self {
-            Unfinished::NotRun(refusal) => refusal.reason,
-            Unfinished::Unknown(reason) => *reason,
+            CallFailure::NotRun(refusal) => refusal.reason,
+            CallFailure::Unknown(reason) => *reason,
         }
     }
 }
--- a/crates/hemlocktack-protocol/src/time.rs
+++ b/crates/hemlocktack-protocol/src/time.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// Reads a number with its unit, `ms` or `s`: `1500ms`, `2.5s`.
-pub fn parse_time(text: &str) -> Option<Duration> {
+pub fn parse_duration(text: &str) -> Option<Duration> {
     let (number, unit_s) = match text.strip_suffix("ms") {
         Some(number) => (number, 0.001),
         None => (text.strip_suffix('s')?, 1.0),
