--- a/crates/hemlocktack-config/src/routes.rs
+++ b/crates/hemlocktack-config/src/routes.rs
@@ -81,7 +81,7 @@
     }
 
     /// The service that gets a request, by a number drawn evenly from 0 to 1.
-    pub fn target(&self, drawn: f64) -> Option<&RouteTarget> {
+    pub fn pick_target(&self, drawn: f64) -> Option<&RouteTarget> {
         let total: f64 = self
             .targets
             .iter()
--- a/crates/hemlocktack-interface/src/announcements.rs
+++ b/crates/hemlocktack-interface/src/announcements.rs
@@ -8,10 +8,10 @@
 
 /// How upstreams announce themselves, and how a node is asked whether it is ready.
 #[derive(Clone, Copy)]
-pub struct Announcements {
+pub struct AnnouncementCodec {
     /// Reads an announcement; the error is told to the upstream and logged.
-    pub read: fn(&request::Parts, &[u8]) -> Result<Word, String>,
-    /// Acknowledges what [`Announcements::read`] has read.
+    pub read: fn(&request::Parts, &[u8]) -> Result<UpstreamMessage, String>,
+    /// Acknowledges what [`AnnouncementCodec::read`] has read.
     pub write_acknowledgement: fn() -> Response<Bytes>,
     /// Whether a request asks if this node is ready.
     pub asks_readiness: fn(&request::Parts) -> bool,
@@ -19,7 +19,7 @@
 
 /// One message of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum UpstreamMessage {
     /// It is there.
     Report(UpstreamReport),
     /// It takes no new work from now on and ends soon.
@@ -43,9 +43,9 @@
     /// Requests that it works on at once.
     pub slots: u32,
     /// Whether it takes new work.
-    pub standing: Standing,
+    pub state: AnnouncedState,
     /// How much longer it is slow after its start.
-    pub cold_left: Duration,
+    pub slow_start_left: Duration,
     /// Rises with each message of one start: a lower one was overtaken.
     pub sequence: u64,
     /// Unix milliseconds of the start, where it says. Of two starts of one name
@@ -55,7 +55,7 @@
 
 /// Whether an upstream takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum AnnouncedState {
     /// It does.
     Ready,
     /// It finishes what it has and ends.
--- a/crates/hemlocktack-interface/src/lib.rs
+++ b/crates/hemlocktack-interface/src/lib.rs
@@ -10,9 +10,9 @@
 mod callers;
 mod upstreams;
 
-pub use announcements::{Announcements, Standing, UpstreamReport, Word};
-pub use callers::{Callers, Entered, Refused};
-pub use upstreams::{AnswerCheck, Health, Upstreams};
+pub use announcements::{AnnouncedState, AnnouncementCodec, UpstreamMessage, UpstreamReport};
+pub use callers::{CallerCodec, ErrorResponse, IncomingRequest};
+pub use upstreams::{AnswerCheck, Health, UpstreamCodec};
 
 use hemlocktack_config::Document;
 use hemlocktack_platform::StoreCodec;
@@ -21,11 +21,11 @@
 #[derive(Clone, Copy)]
 pub struct Interface {
     /// Requests of callers and their answers.
-    pub callers: Callers,
+    pub callers: CallerCodec,
     /// Requests to the upstream beside the node and its answers.
-    pub upstreams: Upstreams,
+    pub upstreams: UpstreamCodec,
     /// What upstreams say of themselves, and what asks whether the node is ready.
-    pub announcements: Announcements,
+    pub announcements: AnnouncementCodec,
     /// Objects in the platform's store.
     pub store: StoreCodec,
     /// Reads the stored text of a configuration; the error says what is wrong
--- a/crates/hemlocktack-interface/src/upstreams.rs
+++ b/crates/hemlocktack-interface/src/upstreams.rs
@@ -7,7 +7,7 @@
 
 /// How upstreams encode requests and answers.
 #[derive(Clone, Copy)]
-pub struct Upstreams {
+pub struct UpstreamCodec {
     /// Sets the headers of the system on a request: the time left, and the
     /// start of the upstream that alone is to run it.
     pub write_headers: fn(&mut HeaderMap, time_left: Duration, upstream_start: Option<&str>),
@@ -27,12 +27,12 @@
     /// The upstream says that it has not run the request.
     NotRun(Reason),
     /// Another start of an upstream listens there now; it has not run the request.
-    OtherUpstream,
+    OtherInstance,
     /// It answers another request, which says nothing of this one.
     OtherRequest,
     /// It is an answer of this request with a status that promises that it has
     /// not run, without the upstream's word for it.
-    FalsePromise,
+    UnconfirmedNotRun,
 }
 
 /// What an upstream says of itself when it is asked.
@@ -41,7 +41,7 @@
     /// Names this start of the upstream.
     pub upstream_start: String,
     /// It takes work, as far as it knows.
-    pub is_well: bool,
+    pub is_healthy: bool,
     /// Requests that it works on at once, where it says so.
     pub slots: Option<u32>,
 }
--- a/crates/hemlocktack-node/src/configuration/follow.rs
+++ b/crates/hemlocktack-node/src/configuration/follow.rs
@@ -7,7 +7,7 @@
 use hemlocktack_fleet::configuration::{
     ConfigurationAction, ConfigurationSettings, ConfigurationState, PeerView, watches_platform,
 };
-use hemlocktack_platform::{ConfigurationStore, Error, Revision, SeenConfiguration};
+use hemlocktack_platform::{ConfigurationSnapshot, ConfigurationStore, Error, Revision};
 use hemlocktack_protocol::{
     ConfigurationDocument, ConfigurationPull, Generation, Member, NodeState, frame,
 };
@@ -38,7 +38,7 @@
     },
     /// An operator's command on this node was stored.
     StoredLocally(ConfigurationDocument),
-    PlatformAnswered(SeenConfiguration),
+    PlatformAnswered(ConfigurationSnapshot),
     RevisionGone,
     PlatformFailed,
     PeerAnswered {
@@ -144,7 +144,7 @@
     fn platform_answered(
         &mut self,
         now: Instant,
-        seen: SeenConfiguration,
+        seen: ConfigurationSnapshot,
     ) -> Vec<ConfigurationAction> {
         // A store that lost its newest writes tells a lower one, which is then right.
         self.revision = seen.revision;
@@ -194,7 +194,7 @@
         tokio::spawn(async move {
             let answer = match wait {
                 true => store.watch_newer(revision, WATCH_WAIT).await,
-                false => store.read_to_watch().await,
+                false => store.read_with_revision().await,
             };
             let event = match answer {
                 Ok(seen) => Event::PlatformAnswered(seen),
--- a/crates/hemlocktack-node/src/gateway/announcements.rs
+++ b/crates/hemlocktack-node/src/gateway/announcements.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use hemlocktack_interface::{Health, Interface, Standing, UpstreamReport, Word};
+use hemlocktack_interface::{AnnouncedState, Health, Interface, UpstreamMessage, UpstreamReport};
 use hemlocktack_protocol::{NodeState, UpstreamState};
 use hemlocktack_telemetry::{Event, log_event};
 use http::{Request, Response, StatusCode};
@@ -69,10 +69,10 @@
 }
 
 /// Takes the word of one start of the upstream, if it is the one that listens.
-async fn take(node: &Arc<Node>, interface: Interface, word: Word) {
+async fn take(node: &Arc<Node>, interface: Interface, word: UpstreamMessage) {
     let (upstream_start, started_unix_ms) = match &word {
-        Word::Report(report) => (&report.upstream_start, report.started_unix_ms),
-        Word::Leaving {
+        UpstreamMessage::Report(report) => (&report.upstream_start, report.started_unix_ms),
+        UpstreamMessage::Leaving {
             upstream_start,
             started_unix_ms,
         } => (upstream_start, *started_unix_ms),
@@ -92,8 +92,8 @@
     }
     node.upstream_starts().note_started(started_unix_ms);
     match word {
-        Word::Report(report) => take_report(node, &report),
-        Word::Leaving { .. } => leave(node),
+        UpstreamMessage::Report(report) => take_report(node, &report),
+        UpstreamMessage::Leaving { .. } => leave(node),
     }
 }
 
@@ -122,13 +122,13 @@
     if !is_news {
         return;
     }
-    if report.standing == Standing::Draining {
+    if report.state == AnnouncedState::Draining {
         return leave(node);
     }
     if node.upstream_starts().has_left() {
         return;
     }
-    let is_cold = report.cold_left > Duration::ZERO;
+    let is_cold = report.slow_start_left > Duration::ZERO;
     announce(
         node,
         &report.upstream_start,
@@ -182,7 +182,7 @@
 fn found(node: &Node, health: &Health) {
     {
         let mut starts = node.upstream_starts();
-        if !health.is_well || starts.is_known() {
+        if !health.is_healthy || starts.is_known() {
             return;
         }
         starts.follow(&health.upstream_start);
--- a/crates/hemlocktack-node/src/gateway/classify.rs
+++ b/crates/hemlocktack-node/src/gateway/classify.rs
@@ -5,7 +5,7 @@
 
 use hemlocktack_config::{Document, Route};
 use hemlocktack_decide::RetryAllowance;
-use hemlocktack_interface::Entered;
+use hemlocktack_interface::IncomingRequest;
 use hemlocktack_protocol::{Call, ClassRank, Generation, Reason, stable_hash};
 
 use crate::calls::{Classified, RunningCall, SendRecord, fingerprint};
@@ -42,7 +42,7 @@
 /// Finds the route of a request and draws the service that gets it.
 pub(super) fn find_route(
     node: &Node,
-    entered: &Entered,
+    entered: &IncomingRequest,
     path: &str,
     now: Instant,
 ) -> Result<Routed, Reason> {
@@ -53,7 +53,9 @@
     let route = document
         .route(&entered.host, path)
         .ok_or(Reason::UnknownService)?;
-    let target = route.target(rand::random()).ok_or(Reason::UnknownService)?;
+    let target = route
+        .pick_target(rand::random())
+        .ok_or(Reason::UnknownService)?;
     let parent_id = entered.parent_request_id.as_deref();
     let waited = match (parent_id, entered.time_left) {
         (None, Some(time_left)) => node.services.waited(route_id(route), time_left),
@@ -94,7 +96,7 @@
 }
 
 /// The caller's patience and the operators' limit, whichever is shorter.
-fn patience(entered: &Entered, route: &Route) -> Duration {
+fn patience(entered: &IncomingRequest, route: &Route) -> Duration {
     let timeout = route.timeout_ms.map(Duration::from_millis);
     let both = entered.time_left.into_iter().chain(timeout);
     both.min().unwrap_or(PATIENCE_UNSAID)
--- a/crates/hemlocktack-node/src/gateway/lines.rs
+++ b/crates/hemlocktack-node/src/gateway/lines.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use hemlocktack_interface::Entered;
+use hemlocktack_interface::IncomingRequest;
 use hemlocktack_protocol::{Answer, Outcome};
 use hemlocktack_telemetry::{Event, log_event};
 
@@ -51,7 +51,7 @@
     }
 }
 
-pub(super) fn log_refused(node: &Node, entered: &Entered, answer: &Answer) {
+pub(super) fn log_refused(node: &Node, entered: &IncomingRequest, answer: &Answer) {
     let Some(left_out) = node.call_log_limiter.try_acquire() else {
         return;
     };
@@ -97,7 +97,7 @@
 /// it was sent nowhere.
 pub(super) fn log_ended_by_limit(
     node: &Node,
-    entered: &Entered,
+    entered: &IncomingRequest,
     waiting: Option<WaitingSend>,
     outcome: Outcome,
     began: Instant,
--- a/crates/hemlocktack-node/src/gateway/requests.rs
+++ b/crates/hemlocktack-node/src/gateway/requests.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use hemlocktack_interface::{Entered, Interface, Refused};
+use hemlocktack_interface::{ErrorResponse, IncomingRequest, Interface};
 use hemlocktack_protocol::{Answer, Call, Header, Outcome, Reason};
 use hemlocktack_telemetry::{SpanEnd, SpanName};
 use http::{HeaderName, HeaderValue, Request, Response, StatusCode, request};
@@ -32,7 +32,7 @@
     let entered = match (interface.callers.read)(&head) {
         Ok(entered) => entered,
         Err(reason) => {
-            let unread = Entered::default();
+            let unread = IncomingRequest::default();
             let answer = not_run(reason, None);
             log_refused(&node, &unread, &answer);
             let refusal = refuse(interface, unread.request_id, answer);
@@ -55,7 +55,7 @@
     node: &Arc<Node>,
     interface: Interface,
     head: &request::Parts,
-    entered: &Entered,
+    entered: &IncomingRequest,
     body: &mut Incoming,
 ) -> Answer {
     let path = head.uri.path();
@@ -106,7 +106,7 @@
 /// The whole body, if the request may be passed on when that has come.
 async fn take_body(
     node: &Node,
-    entered: &Entered,
+    entered: &IncomingRequest,
     body: &mut Incoming,
     routed: &Routed,
     began: Instant,
@@ -128,7 +128,7 @@
 /// The end of a call, or what is known of it at the drain's limit.
 async fn place(
     node: &Arc<Node>,
-    entered: &Entered,
+    entered: &IncomingRequest,
     classified: &Classified,
     began: Instant,
 ) -> Answer {
@@ -175,13 +175,13 @@
 }
 
 fn refuse(interface: Interface, request_id: String, answer: Answer) -> Response<TrackedBody> {
-    let refused = Refused {
+    let refused = ErrorResponse {
         request_id,
         outcome: answer.outcome(),
         reason: answer.reason(),
         retry_after: retry_after(&answer).map(shortest),
     };
-    server::plain((interface.callers.write_refused)(&refused))
+    server::plain((interface.callers.write_error)(&refused))
 }
 
 /// Below this a caller would come back before anything can have changed.
--- a/crates/hemlocktack-node/src/upstream/interface_client.rs
+++ b/crates/hemlocktack-node/src/upstream/interface_client.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use bytes::{Bytes, BytesMut};
-use hemlocktack_interface::{AnswerCheck, Health, Upstreams};
+use hemlocktack_interface::{AnswerCheck, Health, UpstreamCodec};
 use hemlocktack_protocol::Reason;
 use http::{HeaderName, HeaderValue, Method, Request, Response, StatusCode, Uri};
 use http_body_util::{BodyExt, Full};
@@ -20,7 +20,7 @@
 
 /// Client for the one upstream beside the node.
 pub(crate) struct InterfaceClient {
-    codec: Upstreams,
+    codec: UpstreamCodec,
     connections: Connections,
 }
 
@@ -31,7 +31,7 @@
 }
 
 impl InterfaceClient {
-    pub(crate) fn new(codec: Upstreams) -> Self {
+    pub(crate) fn new(codec: UpstreamCodec) -> Self {
         Self {
             codec,
             connections: Connections::default(),
@@ -62,10 +62,10 @@
         let end = match (self.codec.check_answer)(&head, &send.call.request_id) {
             AnswerCheck::Answer => None,
             AnswerCheck::NotRun(reason) => Some(UpstreamEnd::NotRun(reason)),
-            AnswerCheck::OtherUpstream => Some(UpstreamEnd::NotRun(Reason::UpstreamReplaced)),
+            AnswerCheck::OtherInstance => Some(UpstreamEnd::NotRun(Reason::UpstreamReplaced)),
             // What comes next on this connection belongs to nobody here.
             AnswerCheck::OtherRequest => return UpstreamEnd::Unknown(Reason::UpstreamFailed),
-            AnswerCheck::FalsePromise => Some(UpstreamEnd::Unknown(Reason::UpstreamFailed)),
+            AnswerCheck::UnconfirmedNotRun => Some(UpstreamEnd::Unknown(Reason::UpstreamFailed)),
         };
         let body = match read_whole(body, send.answer_limit_bytes).await {
             Ok(body) => body,
--- a/crates/hemlocktack-platform/src/client.rs
+++ b/crates/hemlocktack-platform/src/client.rs
@@ -6,12 +6,12 @@
 use reqwest::{RequestBuilder, Url};
 use serde_json::Value;
 
-use crate::exchange::{Access, Missing, exchange, missing_as_none, too_large, unavailable};
-use crate::own_codec::OWN_CODEC;
-use crate::store_codec::{Read, StoreCall, StoreCodec};
+use crate::exchange::{Access, CallError, exchange, not_found_as_none, too_large, unavailable};
+use crate::native_codec::NATIVE_CODEC;
+use crate::store_codec::{DecodeResult, StoreCall, StoreCodec};
 use crate::{
     Backoff, BackoffSettings, Budget, BudgetSettings, Effect, Error, Listing, Object,
-    PlatformRates, Result, Revision, Version, Watched,
+    PlatformRates, Result, Revision, Version, WatchResponse,
 };
 
 /// Largest value that the platform stores.
@@ -52,7 +52,7 @@
             rates: None,
             backoff: BackoffSettings::default(),
             call_timeout: CALL_TIMEOUT,
-            codec: OWN_CODEC,
+            codec: NATIVE_CODEC,
         }
     }
 }
@@ -156,7 +156,7 @@
         let read = self.codec().read_object;
         let call = (self.codec().get)(key);
         let got = self.call(Access::Read, call, |body| read(key, body));
-        missing_as_none(got.await)
+        not_found_as_none(got.await)
     }
 
     /// All objects whose key begins with the prefix.
@@ -184,7 +184,7 @@
         loop {
             let call = (self.codec().list)(prefix, after.as_deref(), keys_only);
             let got = self.call(Access::Read, call, |body| read(prefix, body));
-            let page = got.await.map_err(Missing::into_error)?;
+            let page = got.await.map_err(CallError::into_error)?;
             let listing = match whole {
                 Some(mut listing) => {
                     listing.objects.extend(page.listing.objects);
@@ -205,19 +205,24 @@
     ///
     /// # Errors
     /// See [`Error`]; `RevisionGone` where the objects have to be listed anew.
-    pub async fn watch(&self, prefix: &str, after: Revision, wait: Duration) -> Result<Watched> {
+    pub async fn watch(
+        &self,
+        prefix: &str,
+        after: Revision,
+        wait: Duration,
+    ) -> Result<WatchResponse> {
         let read = self.codec().read_watched;
         let call = (self.codec().watch)(prefix, after, wait);
         let timeout = wait + self.settings.call_timeout;
         let got = self.call_within(timeout, Access::Read, call, |body| read(prefix, body));
-        got.await.map_err(Missing::into_error)
+        got.await.map_err(CallError::into_error)
     }
 
     /// Replaces the object's value if it has the expected version (0: does not exist).
     ///
     /// # Errors
     /// See [`Error`]. With `Effect::Possible` the caller does not know whether
-    /// the value was stored; `put_resolved` finds out.
+    /// the value was stored; `put_confirmed` finds out.
     pub async fn put_conditional(
         &self,
         key: &str,
@@ -234,8 +239,8 @@
         }
         let got = self.call(Access::Write, call, self.codec().read_written);
         match got.await {
-            Err(Missing::Object) => Err(Error::Conflict { current_version: 0 }),
-            other => other.map_err(Missing::into_error),
+            Err(CallError::NotFound) => Err(Error::Conflict { current_version: 0 }),
+            other => other.map_err(CallError::into_error),
         }
     }
 
@@ -247,7 +252,7 @@
     pub async fn delete(&self, key: &str, expected_version: Version) -> Result<()> {
         let call = (self.codec().delete)(key, expected_version);
         let got = self.call(Access::Write, call, self.codec().read_deleted);
-        missing_as_none(got.await).map(|_| ())
+        not_found_as_none(got.await).map(|_| ())
     }
 
     fn url(&self, call: &StoreCall) -> Url {
@@ -278,8 +283,8 @@
         &self,
         access: Access,
         call: StoreCall,
-        read: impl FnOnce(&[u8]) -> Read<T>,
-    ) -> std::result::Result<T, Missing> {
+        read: impl FnOnce(&[u8]) -> DecodeResult<T>,
+    ) -> std::result::Result<T, CallError> {
         self.call_within(self.settings.call_timeout, access, call, read)
             .await
     }
@@ -289,15 +294,15 @@
         timeout: Duration,
         access: Access,
         call: StoreCall,
-        read: impl FnOnce(&[u8]) -> Read<T>,
-    ) -> std::result::Result<T, Missing> {
+        read: impl FnOnce(&[u8]) -> DecodeResult<T>,
+    ) -> std::result::Result<T, CallError> {
         self.admit(access, Instant::now())?;
         let request = self.request(call, timeout);
         let read_refusal = self.codec().read_refusal;
         let result = exchange(access, request, read_refusal, read).await;
         let failed = matches!(
             result,
-            Err(Missing::Failed(
+            Err(CallError::Failed(
                 Error::Unavailable { .. } | Error::Malformed { .. }
             ))
         );
--- a/crates/hemlocktack-platform/src/configuration.rs
+++ b/crates/hemlocktack-platform/src/configuration.rs
@@ -33,7 +33,7 @@
 
 /// What an answer told of the configuration.
 #[derive(Clone, Debug, PartialEq)]
-pub struct SeenConfiguration {
+pub struct ConfigurationSnapshot {
     /// Revision of the store to watch from next. It grows with every object's
     /// writes, so the store still knows it when the configuration's own version
     /// is long forgotten.
@@ -140,11 +140,11 @@
     ///
     /// # Errors
     /// See [`Error`].
-    pub async fn read_to_watch(&self) -> Result<SeenConfiguration> {
+    pub async fn read_with_revision(&self) -> Result<ConfigurationSnapshot> {
         let listing = self.client.list(CURRENT_KEY).await?;
         let mut objects = listing.objects.into_iter();
         let current = objects.find(|object| object.key == CURRENT_KEY);
-        Ok(SeenConfiguration {
+        Ok(ConfigurationSnapshot {
             revision: listing.revision,
             stored: current.map(|object| self.decode(object)).transpose()?,
         })
@@ -154,9 +154,13 @@
     /// none where there is none in time.
     ///
     /// # Errors
-    /// See [`Error`]. `RevisionGone`: to be read with `read_to_watch`, and
+    /// See [`Error`]. `RevisionGone`: to be read with `read_with_revision`, and
     /// watched from the revision that it tells, after a pause.
-    pub async fn watch_newer(&self, after: Revision, wait: Duration) -> Result<SeenConfiguration> {
+    pub async fn watch_newer(
+        &self,
+        after: Revision,
+        wait: Duration,
+    ) -> Result<ConfigurationSnapshot> {
         let watched = self.client.watch(CURRENT_KEY, after, wait).await?;
         let current = watched
             .objects
@@ -167,7 +171,7 @@
             version: current.version,
             value: current.value,
         });
-        Ok(SeenConfiguration {
+        Ok(ConfigurationSnapshot {
             revision: watched.revision,
             stored: current.map(|object| self.decode(object)).transpose()?,
         })
@@ -208,7 +212,7 @@
         };
         let stored = self
             .client
-            .put_resolved(CURRENT_KEY, expected_version, &self.encode(&next)?)
+            .put_confirmed(CURRENT_KEY, expected_version, &self.encode(&next)?)
             .await;
         match stored {
             Ok(_) => {
@@ -295,7 +299,7 @@
     async fn copy_to_history(&self, configuration: &ConfigurationDocument) -> Result<()> {
         let key = history_key(configuration.generation);
         let value = self.encode(configuration)?;
-        match self.client.put_resolved(&key, 0, &value).await {
+        match self.client.put_confirmed(&key, 0, &value).await {
             Ok(_) | Err(Error::Conflict { .. }) => Ok(()),
             Err(error) => Err(without_effect(error)),
         }
--- a/crates/hemlocktack-platform/src/exchange.rs
+++ b/crates/hemlocktack-platform/src/exchange.rs
@@ -6,7 +6,7 @@
 use reqwest::{RequestBuilder, Response, StatusCode};
 
 use crate::client::VALUE_LIMIT_BYTES;
-use crate::store_codec::{Read, StoreRefusal};
+use crate::store_codec::{DecodeResult, StoreError};
 use crate::{Effect, Error, Result};
 
 /// Larger answers are not read to their end: a list of 560 records is under 1 MiB.
@@ -29,34 +29,34 @@
 }
 
 /// Why a call gave no value: the object does not exist, or it failed.
-pub(crate) enum Missing {
-    Object,
+pub(crate) enum CallError {
+    NotFound,
     Failed(Error),
 }
 
-impl From<Error> for Missing {
-    fn from(error: Error) -> Missing {
-        Missing::Failed(error)
+impl From<Error> for CallError {
+    fn from(error: Error) -> CallError {
+        CallError::Failed(error)
     }
 }
 
-impl Missing {
+impl CallError {
     /// For calls that no missing object can answer.
     pub(crate) fn into_error(self) -> Error {
         match self {
-            Missing::Object => malformed(
+            CallError::NotFound => malformed(
                 Effect::None,
                 "a missing object where none was asked for".to_owned(),
             ),
-            Missing::Failed(error) => error,
+            CallError::Failed(error) => error,
         }
     }
 
-    pub(crate) fn with_wait(self, wait: Duration) -> Missing {
-        let Missing::Failed(error) = self else {
+    pub(crate) fn with_wait(self, wait: Duration) -> CallError {
+        let CallError::Failed(error) = self else {
             return self;
         };
-        Missing::Failed(match error {
+        CallError::Failed(match error {
             Error::Unavailable { effect, detail, .. } => Error::Unavailable {
                 effect,
                 detail,
@@ -72,20 +72,20 @@
     }
 }
 
-pub(crate) fn missing_as_none<T>(result: std::result::Result<T, Missing>) -> Result<Option<T>> {
+pub(crate) fn not_found_as_none<T>(result: std::result::Result<T, CallError>) -> Result<Option<T>> {
     match result {
         Ok(value) => Ok(Some(value)),
-        Err(Missing::Object) => Ok(None),
-        Err(Missing::Failed(error)) => Err(error),
+        Err(CallError::NotFound) => Ok(None),
+        Err(CallError::Failed(error)) => Err(error),
     }
 }
 
 pub(crate) async fn exchange<T>(
     access: Access,
     request: RequestBuilder,
-    read_refusal: fn(StatusCode, &[u8]) -> StoreRefusal,
-    read: impl FnOnce(&[u8]) -> Read<T>,
-) -> std::result::Result<T, Missing> {
+    read_refusal: fn(StatusCode, &[u8]) -> StoreError,
+    read: impl FnOnce(&[u8]) -> DecodeResult<T>,
+) -> std::result::Result<T, CallError> {
     let lost = access.effect_of_lost_answer();
     let response = request.send().await.map_err(|error| {
         let effect = if error.is_connect() {
@@ -122,20 +122,20 @@
     }
 }
 
-fn refused(refusal: StoreRefusal, lost: Effect) -> Missing {
+fn refused(refusal: StoreError, lost: Effect) -> CallError {
     let unavailable = |effect, detail| Error::Unavailable {
         effect,
         detail,
         retry_after: Duration::ZERO,
     };
-    Missing::Failed(match refusal {
-        StoreRefusal::Missing => return Missing::Object,
-        StoreRefusal::Conflict(current_version) => Error::Conflict { current_version },
-        StoreRefusal::TooLarge => too_large(),
-        StoreRefusal::RevisionGone => Error::RevisionGone,
-        StoreRefusal::NotDone(detail) => unavailable(Effect::None, detail),
-        StoreRefusal::Failed(detail) => unavailable(lost, detail),
-        StoreRefusal::Malformed(detail) => malformed(lost, detail),
+    CallError::Failed(match refusal {
+        StoreError::NotFound => return CallError::NotFound,
+        StoreError::Conflict(current_version) => Error::Conflict { current_version },
+        StoreError::TooLarge => too_large(),
+        StoreError::RevisionGone => Error::RevisionGone,
+        StoreError::NotApplied(detail) => unavailable(Effect::None, detail),
+        StoreError::Failed(detail) => unavailable(lost, detail),
+        StoreError::Malformed(detail) => malformed(lost, detail),
     })
 }
 
--- a/crates/hemlocktack-platform/src/lib.rs
+++ b/crates/hemlocktack-platform/src/lib.rs
@@ -9,8 +9,8 @@
 mod configuration;
 mod error;
 mod exchange;
+mod native_codec;
 mod nodes;
-mod own_codec;
 mod resolve;
 mod store_codec;
 mod values;
@@ -19,10 +19,10 @@
 pub use budget::{Budget, BudgetSettings, PlatformRates, Rate};
 pub use client::{Client, ClientSettings, VALUE_LIMIT_BYTES};
 pub use configuration::{
-    Applied, Change, ConfigurationStore, HISTORY_LENGTH, SeenConfiguration, StoredConfiguration,
+    Applied, Change, ConfigurationSnapshot, ConfigurationStore, HISTORY_LENGTH, StoredConfiguration,
 };
 pub use error::{Effect, Error, Result};
+pub use native_codec::NATIVE_CODEC;
 pub use nodes::{NodeRecords, Publication, PublishedNode, PublishedNodes};
-pub use own_codec::OWN_CODEC;
-pub use store_codec::{ListingPage, Read, StoreCall, StoreCodec, StoreRefusal};
-pub use values::{Listing, Object, Revision, Version, Watched, WatchedObject};
+pub use store_codec::{DecodeResult, ListingPage, StoreCall, StoreCodec, StoreError};
+pub use values::{Listing, Object, Revision, Version, WatchResponse, WatchedObject};
--- a/crates/hemlocktack-platform/src/own_codec.rs
+++ b/crates/hemlocktack-platform/src/native_codec.rs
@@ -9,14 +9,14 @@
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-use crate::store_codec::{ListingPage, Read, StoreCall, StoreCodec, StoreRefusal};
+use crate::store_codec::{DecodeResult, ListingPage, StoreCall, StoreCodec, StoreError};
 use crate::{Object, Revision, Version};
 
 /// Error of a 404 that speaks of an object.
 const NOT_FOUND: &str = "not-found";
 
 /// The product's own wire format.
-pub const OWN_CODEC: StoreCodec = StoreCodec {
+pub const NATIVE_CODEC: StoreCodec = StoreCodec {
     get,
     list,
     watch,
@@ -91,11 +91,11 @@
     }
 }
 
-fn read<T: DeserializeOwned>(body: &[u8]) -> Read<T> {
+fn read<T: DeserializeOwned>(body: &[u8]) -> DecodeResult<T> {
     serde_json::from_slice(body).map_err(|error| error.to_string())
 }
 
-fn read_listing(_prefix: &str, body: &[u8]) -> Read<ListingPage> {
+fn read_listing(_prefix: &str, body: &[u8]) -> DecodeResult<ListingPage> {
     Ok(ListingPage {
         listing: read(body)?,
         next_after: None,
@@ -104,25 +104,25 @@
 
 /// A 404 without the API's own error comes from something that is not the
 /// object API, and must not be taken for "there is no configuration yet".
-fn read_refusal(status: StatusCode, body: &[u8]) -> StoreRefusal {
+fn read_refusal(status: StatusCode, body: &[u8]) -> StoreError {
     let body: ErrorBody = serde_json::from_slice(body).unwrap_or_default();
     match (status, body.current_version) {
-        (StatusCode::NOT_FOUND, _) if body.error == NOT_FOUND => StoreRefusal::Missing,
-        (StatusCode::CONFLICT, Some(current_version)) => StoreRefusal::Conflict(current_version),
-        (StatusCode::PAYLOAD_TOO_LARGE, _) => StoreRefusal::TooLarge,
-        (StatusCode::GONE, _) => StoreRefusal::RevisionGone,
+        (StatusCode::NOT_FOUND, _) if body.error == NOT_FOUND => StoreError::NotFound,
+        (StatusCode::CONFLICT, Some(current_version)) => StoreError::Conflict(current_version),
+        (StatusCode::PAYLOAD_TOO_LARGE, _) => StoreError::TooLarge,
+        (StatusCode::GONE, _) => StoreError::RevisionGone,
         (StatusCode::TOO_MANY_REQUESTS, _) => {
-            StoreRefusal::NotDone("its rates are used up".to_owned())
+            StoreError::NotApplied("its rates are used up".to_owned())
         }
-        (status, _) if status.is_server_error() => StoreRefusal::Failed(format!("status {status}")),
-        _ => StoreRefusal::Malformed(format!("status {status} with error {:?}", body.error)),
+        (status, _) if status.is_server_error() => StoreError::Failed(format!("status {status}")),
+        _ => StoreError::Malformed(format!("status {status} with error {:?}", body.error)),
     }
 }
 
-fn read_configuration(object: &Object) -> Read<ConfigurationDocument> {
+fn read_configuration(object: &Object) -> DecodeResult<ConfigurationDocument> {
     serde_json::from_value(object.value.clone()).map_err(|error| error.to_string())
 }
 
-fn write_configuration(configuration: &ConfigurationDocument) -> Read<Value> {
+fn write_configuration(configuration: &ConfigurationDocument) -> DecodeResult<Value> {
     serde_json::to_value(configuration).map_err(|error| error.to_string())
 }
--- a/crates/hemlocktack-platform/src/nodes.rs
+++ b/crates/hemlocktack-platform/src/nodes.rs
@@ -79,7 +79,7 @@
         let value = serde_json::to_value(member).map_err(|error| malformed(&key, &error))?;
         let mut expected_version = self.own_version().unwrap_or(0);
         for _ in 0..TRY_LIMIT {
-            let stored = self.client.put_resolved(&key, expected_version, &value);
+            let stored = self.client.put_confirmed(&key, expected_version, &value);
             match stored.await {
                 Ok(version) => {
                     self.set_own_version(Some(version));
--- a/crates/hemlocktack-platform/src/resolve.rs
+++ b/crates/hemlocktack-platform/src/resolve.rs
@@ -26,7 +26,7 @@
     /// See [`Error`]. `Conflict` after a lost answer can also mean that the
     /// value was stored and then replaced. `Effect::Possible`: not resolved in
     /// time; to send the same value again is safe.
-    pub async fn put_resolved(
+    pub async fn put_confirmed(
         &self,
         key: &str,
         expected_version: Version,
--- a/crates/hemlocktack-platform/src/store_codec.rs
+++ b/crates/hemlocktack-platform/src/store_codec.rs
@@ -9,7 +9,7 @@
 use reqwest::{Method, StatusCode};
 use serde_json::Value;
 
-use crate::{Listing, Object, Revision, Version, Watched};
+use crate::{Listing, Object, Revision, Version, WatchResponse};
 
 /// One call as it goes over the wire.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -35,9 +35,9 @@
 
 /// What an answer without success means.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum StoreRefusal {
+pub enum StoreError {
     /// The object does not exist.
-    Missing,
+    NotFound,
     /// It has another version than the expected one; 0: it does not exist.
     Conflict(Version),
     /// The value is over the limit.
@@ -45,7 +45,7 @@
     /// The store does not know the changes after this revision any more.
     RevisionGone,
     /// Nothing was done, and the same call may succeed later.
-    NotDone(String),
+    NotApplied(String),
     /// The store failed; a write may have been done.
     Failed(String),
     /// Something else than the interface says.
@@ -53,7 +53,7 @@
 }
 
 /// Result of reading an answer's body; the error is what was found wrong.
-pub type Read<T> = std::result::Result<T, String>;
+pub type DecodeResult<T> = std::result::Result<T, String>;
 
 /// How one store encodes calls and answers. Keys are ours: `nodes/NAME`,
 /// `configuration/current`.
@@ -70,20 +70,20 @@
     /// Deletes the object if it has the version.
     pub delete: fn(key: &str, expected_version: Version) -> StoreCall,
     /// Reads the answer to `get`.
-    pub read_object: fn(key: &str, body: &[u8]) -> Read<Object>,
+    pub read_object: fn(key: &str, body: &[u8]) -> DecodeResult<Object>,
     /// Reads an answer to `list`.
-    pub read_listing: fn(prefix: &str, body: &[u8]) -> Read<ListingPage>,
+    pub read_listing: fn(prefix: &str, body: &[u8]) -> DecodeResult<ListingPage>,
     /// Reads the answer to `watch`.
-    pub read_watched: fn(prefix: &str, body: &[u8]) -> Read<Watched>,
+    pub read_watched: fn(prefix: &str, body: &[u8]) -> DecodeResult<WatchResponse>,
     /// Reads the new version from the answer to `put`.
-    pub read_written: fn(body: &[u8]) -> Read<Version>,
+    pub read_written: fn(body: &[u8]) -> DecodeResult<Version>,
     /// Checks the answer to `delete`.
-    pub read_deleted: fn(body: &[u8]) -> Read<()>,
+    pub read_deleted: fn(body: &[u8]) -> DecodeResult<()>,
     /// Reads an answer without success.
-    pub read_refusal: fn(StatusCode, body: &[u8]) -> StoreRefusal,
+    pub read_refusal: fn(StatusCode, body: &[u8]) -> StoreError,
     /// Reads the operators' configuration from its object.
-    pub read_configuration: fn(&Object) -> Read<ConfigurationDocument>,
+    pub read_configuration: fn(&Object) -> DecodeResult<ConfigurationDocument>,
     /// Encodes the configuration as a value; `None` where operators write it
     /// with tools of their own and nodes only read it.
-    pub write_configuration: Option<fn(&ConfigurationDocument) -> Read<Value>>,
+    pub write_configuration: Option<fn(&ConfigurationDocument) -> DecodeResult<Value>>,
 }
--- a/crates/hemlocktack-platform/src/values.rs
+++ b/crates/hemlocktack-platform/src/values.rs
@@ -48,7 +48,7 @@
 
 /// Answer of a watch; empty where nothing changed in time.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-pub struct Watched {
+pub struct WatchResponse {
     /// Revision to watch from next.
     pub revision: Revision,
     /// In order of keys.
--- a/crates/hemlocktack-platform/tests/contract/client.rs
+++ b/crates/hemlocktack-platform/tests/contract/client.rs
@@ -219,7 +219,7 @@
         lose_answers: 1,
         ..Switches::default()
     });
-    let version = client.put_resolved("a/1", 0, &json!("mine")).await;
+    let version = client.put_confirmed("a/1", 0, &json!("mine")).await;
     assert_eq!(version, Ok(1));
     assert_eq!(platform.counts().puts, 2);
     assert_eq!(platform.counts().conflicts, 1);
@@ -236,7 +236,7 @@
         ..Switches::default()
     });
     let error = client
-        .put_resolved("a/1", 0, &json!("mine"))
+        .put_confirmed("a/1", 0, &json!("mine"))
         .await
         .unwrap_err();
     assert_eq!(kind(&error), "Malformed, effect possible");
--- a/crates/hemlocktack-platform/tests/contract/configuration.rs
+++ b/crates/hemlocktack-platform/tests/contract/configuration.rs
@@ -241,7 +241,7 @@
     assert_eq!(none.await.unwrap().stored, None);
     let unknown_revision = store.watch_newer(u64::MAX, LONG_WAIT).await;
     assert_eq!(unknown_revision, Err(Error::RevisionGone));
-    let read_again = store.read_to_watch().await.unwrap();
+    let read_again = store.read_with_revision().await.unwrap();
     assert_eq!(read_again.stored, Some(second));
 }
 
@@ -258,7 +258,7 @@
         forgets_revisions: true,
         ..Switches::default()
     });
-    let read = store.read_to_watch().await.unwrap();
+    let read = store.read_with_revision().await.unwrap();
     let version = read.stored.unwrap().version;
     let stale = store.watch_newer(version, LONG_WAIT).await;
     assert_eq!(stale, Err(Error::RevisionGone));
--- a/crates/hemlocktack-platform/tests/nearly_right.rs
+++ b/crates/hemlocktack-platform/tests/nearly_right.rs
@@ -5,7 +5,7 @@
 
 #![allow(clippy::unwrap_used)]
 
-use hemlocktack_platform::{OWN_CODEC, Object, StoreRefusal};
+use hemlocktack_platform::{NATIVE_CODEC, Object, StoreError};
 use hemlocktack_protocol::Member;
 use hemlocktack_testkit::nearly_right::{cases, nearly};
 use proptest::prelude::*;
@@ -67,18 +67,18 @@
 /// stop at the same first fault in all of them.
 #[test]
 fn messages_that_nothing_was_changed_in_are_read_whole() {
-    let stored = (OWN_CODEC.read_object)("", &bytes(configuration())).unwrap();
-    let stored = (OWN_CODEC.read_configuration)(&stored).unwrap();
+    let stored = (NATIVE_CODEC.read_object)("", &bytes(configuration())).unwrap();
+    let stored = (NATIVE_CODEC.read_configuration)(&stored).unwrap();
     assert_eq!((stored.generation, stored.author.as_str()), (7, "asha"));
-    let page = (OWN_CODEC.read_listing)("nodes/", &bytes(listing())).unwrap();
+    let page = (NATIVE_CODEC.read_listing)("nodes/", &bytes(listing())).unwrap();
     assert_eq!(page.listing.objects.len(), 2);
     let first = page.listing.objects.into_iter().next().and_then(member);
     assert_eq!(first.unwrap().successions.len(), 1);
-    let watched = (OWN_CODEC.read_watched)("", &bytes(watched())).unwrap();
+    let watched = (NATIVE_CODEC.read_watched)("", &bytes(watched())).unwrap();
     assert_eq!(watched.objects.len(), 1);
-    assert_eq!((OWN_CODEC.read_written)(&bytes(written())), Ok(43));
-    let refused = (OWN_CODEC.read_refusal)(StatusCode::CONFLICT, &bytes(refusal()));
-    assert_eq!(refused, StoreRefusal::Conflict(44));
+    assert_eq!((NATIVE_CODEC.read_written)(&bytes(written())), Ok(43));
+    let refused = (NATIVE_CODEC.read_refusal)(StatusCode::CONFLICT, &bytes(refusal()));
+    assert_eq!(refused, StoreError::Conflict(44));
 }
 
 proptest! {
@@ -93,19 +93,19 @@
         short in nearly(written), refused in nearly(refusal), status in 100_u16..1000,
     ) {
         for body in [&one, &record] {
-            if let Ok(object) = (OWN_CODEC.read_object)("", body) {
-                let _ = (OWN_CODEC.read_configuration)(&object);
+            if let Ok(object) = (NATIVE_CODEC.read_object)("", body) {
+                let _ = (NATIVE_CODEC.read_configuration)(&object);
                 let _ = member(object);
             }
         }
-        if let Ok(page) = (OWN_CODEC.read_listing)("nodes/", &page) {
+        if let Ok(page) = (NATIVE_CODEC.read_listing)("nodes/", &page) {
             prop_assert!(page.next_after.is_none());
             page.listing.objects.into_iter().for_each(|object| drop(member(object)));
         }
-        let _ = (OWN_CODEC.read_watched)("", &events);
-        let _ = (OWN_CODEC.read_written)(&short);
-        let _ = (OWN_CODEC.read_deleted)(&short);
+        let _ = (NATIVE_CODEC.read_watched)("", &events);
+        let _ = (NATIVE_CODEC.read_written)(&short);
+        let _ = (NATIVE_CODEC.read_deleted)(&short);
         let status = StatusCode::from_u16(status).unwrap();
-        let _ = (OWN_CODEC.read_refusal)(status, &refused);
+        let _ = (NATIVE_CODEC.read_refusal)(status, &refused);
     }
 }
