--- a/crates/hemlocktack-node/src/gateway/announcements.rs
+++ b/crates/hemlocktack-node/src/gateway/announcements.rs
@@ -11,7 +11,7 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 
-use super::server::plain;
+use super::server::untracked;
 use super::tracked_body::TrackedBody;
 use crate::node::Node;
 use crate::upstream::{Announcement, Speaker};
@@ -36,7 +36,7 @@
 ) -> Response<TrackedBody> {
     let (head, body) = request.into_parts();
     if (interface.announcements.asks_readiness)(&head) {
-        return plain(readiness(&node));
+        return untracked(readiness(&node));
     }
     let body = Limited::new(body, BODY_LIMIT_BYTES).collect().await;
     let body = body.map(|body| body.to_bytes()).unwrap_or_default();
@@ -44,11 +44,11 @@
         Ok(word) => word,
         Err(fault) => {
             log_event!(Event::AnnouncementMalformed, %fault);
-            return plain(refuse(fault));
+            return untracked(refuse(fault));
         }
     };
     take(&node, interface, word).await;
-    plain((interface.announcements.write_acknowledgement)())
+    untracked((interface.announcements.write_acknowledgement)())
 }
 
 /// Ready means: a configuration is in force and the node is not stopping. That
--- a/crates/hemlocktack-node/src/gateway/caller_socket.rs
+++ b/crates/hemlocktack-node/src/gateway/caller_socket.rs
@@ -1,4 +1,4 @@
-//! A caller's socket that knows whether anything is under way on it.
+//! A caller's socket that tracks whether its connection is idle.
 
 use std::io;
 use std::pin::Pin;
@@ -10,31 +10,31 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A socket, and what was read from it for a request that is not whole yet.
+/// A socket, with bytes already read from it that belong to an incomplete request.
 pub(super) struct CallerSocket {
     stream: TcpStream,
     read_ahead: Bytes,
-    traffic: Traffic,
+    activity: Activity,
 }
 
-/// What is under way on one connection, shared by its socket and its requests.
+/// Activity of one connection, shared by its socket and its requests.
 #[derive(Clone)]
-pub(super) struct Traffic {
-    state: Arc<Mutex<TrafficState>>,
+pub(super) struct Activity {
+    state: Arc<Mutex<ActivityState>>,
 }
 
-struct TrafficState {
+struct ActivityState {
     open_requests: u32,
-    /// Bytes have come since the last answer: a request may be arriving.
+    /// Bytes have arrived since the last response, so a request may be arriving.
     is_receiving: bool,
-    /// The socket took no more of an answer.
+    /// The last write of a response returned `Pending`.
     is_write_blocked: bool,
-    last_end: Instant,
+    last_response: Instant,
 }
 
-/// A request that has no answer yet.
+/// Guard that marks a request as open until its response is ready.
 pub(super) struct OpenRequest {
-    traffic: Traffic,
+    activity: Activity,
 }
 
 impl CallerSocket {
@@ -42,13 +42,13 @@
         Self {
             stream,
             read_ahead: Bytes::new(),
-            traffic: Traffic::new(),
+            activity: Activity::new(),
         }
     }
 
-    /// The same with bytes that come before all that the stream still brings.
+    /// Returns the socket with bytes that are read before the rest of the stream.
     pub(super) fn with_read_ahead(self, read_ahead: Bytes) -> Self {
-        // An empty piece would keep the whole buffer that it was cut from.
+        // A copy, because even an empty slice keeps the buffer it was cut from alive.
         let read_ahead = Bytes::copy_from_slice(&read_ahead);
         Self { read_ahead, ..self }
     }
@@ -57,69 +57,69 @@
         !self.read_ahead.is_empty()
     }
 
-    pub(super) fn traffic(&self) -> Traffic {
-        self.traffic.clone()
+    pub(super) fn activity(&self) -> Activity {
+        self.activity.clone()
     }
 
-    /// Ends when bytes or the far end's close have come.
+    /// Completes when data has arrived or the peer has closed the connection.
     pub(super) async fn readable(&self) -> io::Result<()> {
         self.stream.readable().await
     }
 }
 
-impl Traffic {
+impl Activity {
     fn new() -> Self {
-        let state = TrafficState {
+        let state = ActivityState {
             open_requests: 0,
             is_receiving: false,
             is_write_blocked: false,
-            last_end: Instant::now(),
+            last_response: Instant::now(),
         };
         Self {
             state: Arc::new(Mutex::new(state)),
         }
     }
 
-    fn state(&self) -> MutexGuard<'_, TrafficState> {
+    fn state(&self) -> MutexGuard<'_, ActivityState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     pub(super) fn begin_request(&self) -> OpenRequest {
         self.state().open_requests += 1;
         OpenRequest {
-            traffic: self.clone(),
+            activity: self.clone(),
         }
     }
 
-    /// Ends when nothing has been under way for this long.
-    pub(super) async fn quiet_for(&self, time: Duration) {
+    /// Completes when the connection has been idle for `time`.
+    pub(super) async fn idle_for(&self, time: Duration) {
         loop {
-            let quiet_at = self.state().quiet_since() + time;
-            if quiet_at <= Instant::now() {
+            let idle_at = self.state().idle_since() + time;
+            if idle_at <= Instant::now() {
                 return;
             }
-            tokio::time::sleep_until(quiet_at.into()).await;
+            tokio::time::sleep_until(idle_at.into()).await;
         }
     }
 }
 
-impl TrafficState {
-    fn quiet_since(&self) -> Instant {
+impl ActivityState {
+    fn idle_since(&self) -> Instant {
         let is_busy = self.open_requests > 0 || self.is_receiving || self.is_write_blocked;
         if is_busy {
             Instant::now()
         } else {
-            self.last_end
+            self.last_response
         }
     }
 }
 
 impl Drop for OpenRequest {
     fn drop(&mut self) {
-        let mut state = self.traffic.state();
+        let mut state = self.activity.state();
         state.open_requests -= 1;
         state.is_receiving = false;
-        state.last_end = Instant::now();
+        state.last_response = Instant::now();
     }
 }
 
@@ -138,7 +138,7 @@
             Poll::Ready(Ok(()))
         };
         if buffer.filled().len() > before_bytes {
-            self.traffic.state().is_receiving = true;
+            self.activity.state().is_receiving = true;
         }
         read
     }
@@ -151,7 +151,7 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.traffic.state().is_write_blocked = written.is_pending();
+        self.activity.state().is_write_blocked = written.is_pending();
         written
     }
 
@@ -161,7 +161,7 @@
         slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write_vectored(context, slices);
-        self.traffic.state().is_write_blocked = written.is_pending();
+        self.activity.state().is_write_blocked = written.is_pending();
         written
     }
 
--- a/crates/hemlocktack-node/src/gateway/connection.rs
+++ b/crates/hemlocktack-node/src/gateway/connection.rs
@@ -1,5 +1,5 @@
-//! One connection of a caller: the HTTP library serves it while requests come, and
-//! a bare socket is all that stays of it while none does.
+//! One connection of a caller. Hyper serves it while requests arrive; while it is
+//! idle, only the bare socket is kept.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -19,28 +19,28 @@
 use super::tracked_body::TrackedBody;
 use crate::node::Node;
 
-/// A connection without a request for this long gives its buffers back. Upstreams
-/// make one deeper call after another and keep theirs.
-const REST_AFTER: Duration = Duration::from_millis(500);
-/// Room for the request line and for what the library reads ahead, above the
-/// operators' limit of a head.
+/// A connection without a request for this long releases its buffers. Connections of
+/// upstreams, which make child calls in quick succession, keep theirs.
+const IDLE_AFTER: Duration = Duration::from_millis(500);
+/// Buffer space beyond the configured header limit, for the request line and for
+/// bytes that hyper reads ahead.
 const READ_AHEAD_BYTES: usize = 8 << 10;
-/// No timer of this length ends before the runtime has looked at all sockets.
-const LAST_LOOK: Duration = Duration::from_millis(1);
+/// Long enough that the runtime polls all sockets before a timer of this length fires.
+const FINAL_POLL_TIMEOUT: Duration = Duration::from_millis(1);
 
-/// What comes next on a connection that the library serves.
-enum Next {
+/// Why hyper stops serving a connection.
+enum ServeEnd {
     Ended(hyper::Result<()>),
-    Close,
-    Rest,
+    Closing,
+    Idle,
 }
 
-/// Serves a connection until one end closes it.
+/// Serves a connection until either end closes it.
 ///
-/// Failure: callers open a connection for one request and leave it open. Symptom:
-/// each holds the library's buffers and the room of a whole call, twenty kilobytes,
-/// and thousands of them cost a small machine its memory. Hearing of the next
-/// request takes the socket alone.
+/// Callers open a connection for one request and leave it open. With hyper's buffers
+/// and the state of a call, each such connection held 20 KB, and thousands of them
+/// exhausted the memory of a small machine. An idle connection is therefore reduced
+/// to its socket, which is enough to notice the next request.
 pub(super) async fn serve<H, F>(node: Arc<Node>, stream: TcpStream, handle: H)
 where
     H: Fn(Arc<Node>, Request<Incoming>) -> F + Copy + Send + Sync + 'static,
@@ -50,30 +50,30 @@
         return;
     }
     let mut socket = CallerSocket::new(stream);
-    while something_comes(&node, &socket).await {
-        // In a box, so that a connection at rest keeps no room for it.
+    while wait_for_data(&node, &socket).await {
+        // Boxed, so that an idle connection does not keep memory for it.
         let requests = Box::pin(serve_requests(&node, socket, handle));
-        let Some(resting) = requests.await else {
+        let Some(idle_socket) = requests.await else {
             return;
         };
-        socket = resting;
+        socket = idle_socket;
     }
 }
 
-/// Whether bytes or the far end's close come before this end closes.
-async fn something_comes(node: &Node, socket: &CallerSocket) -> bool {
+/// Returns whether data or the peer's close arrives before the node closes the connection.
+async fn wait_for_data(node: &Node, socket: &CallerSocket) -> bool {
     tokio::select! {
-        // A caller whose bytes were not read knows that nothing ran.
+        // Closing comes first: a caller whose bytes were never read knows that nothing ran.
         biased;
         () = node.signals.closing.cancelled() => false,
         readable = socket.readable() => readable.is_ok(),
-        () = idle_time_over(node) => comes_now(socket).await,
+        () = idle_timeout(node) => has_data(socket).await,
     }
 }
 
-/// Ends when a connection has been at rest for as long as operators allow by then: they
-/// may allow more than at the beginning.
-async fn idle_time_over(node: &Node) {
+/// Completes when a connection has been idle for the configured timeout. The timeout is
+/// read again when it elapses, because operators may have raised it meanwhile.
+async fn idle_timeout(node: &Node) {
     let began = Instant::now();
     let mut allowed = node.client_limits().idle_timeout();
     while let Some(left) = allowed.checked_sub(began.elapsed()) {
@@ -82,24 +82,24 @@
     }
 }
 
-/// Whether bytes have come by now.
+/// Returns whether data has already arrived.
 ///
-/// After a standstill a timer may end before the runtime has looked at the sockets;
-/// before the next one ends it has.
-async fn comes_now(socket: &CallerSocket) -> bool {
-    let readable = tokio::time::timeout(LAST_LOOK, socket.readable()).await;
+/// After the process was stalled, a timer may fire before the runtime has polled the
+/// sockets. By the time a second timer fires, it has.
+async fn has_data(socket: &CallerSocket) -> bool {
+    let readable = tokio::time::timeout(FINAL_POLL_TIMEOUT, socket.readable()).await;
     matches!(readable, Ok(Ok(())))
 }
 
-/// What becomes of a connection whose time for a head is over: it may have run out
-/// between two requests, or while bytes lie in the socket.
-async fn after_head_timeout(socket: CallerSocket) -> Option<CallerSocket> {
-    let goes_on = !socket.has_read_ahead() || comes_now(&socket).await;
-    goes_on.then_some(socket)
+/// Returns the socket of a connection after hyper's header timeout, if it stays open.
+/// The timeout may have elapsed between two requests, or with unread bytes in the socket.
+async fn after_header_timeout(socket: CallerSocket) -> Option<CallerSocket> {
+    let stays_open = !socket.has_read_ahead() || has_data(&socket).await;
+    stays_open.then_some(socket)
 }
 
-/// Serves requests until the connection is closed, or until none has come for a
-/// while: then the socket is given back.
+/// Serves requests until the connection is closed or becomes idle; returns the socket
+/// of an idle connection.
 async fn serve_requests<H, F>(
     node: &Arc<Node>,
     socket: CallerSocket,
@@ -109,10 +109,10 @@
     H: Fn(Arc<Node>, Request<Incoming>) -> F + Copy + Send + Sync + 'static,
     F: Future<Output = Response<TrackedBody>> + Send + 'static,
 {
-    let traffic = socket.traffic();
-    // Boxed as well: the library keeps room for it between two requests.
+    let activity = socket.activity();
+    // Boxed as well, because hyper reserves memory for the future between two requests.
     let service = service_fn(|request| {
-        let open_request = traffic.begin_request();
+        let open_request = activity.begin_request();
         let answering = answer(node.clone(), request, handle);
         async move {
             let response = answering.await;
@@ -125,27 +125,27 @@
     let mut builder = Builder::new();
     builder
         .timer(TokioTimer::new())
-        // The library counts the time between two requests as well.
-        .header_read_timeout(limits.header_timeout().max(REST_AFTER * 2))
+        // Hyper's timeout also covers the time between two requests.
+        .header_read_timeout(limits.header_timeout().max(IDLE_AFTER * 2))
         .max_buf_size(limits.header_limit_bytes.saturating_add(READ_AHEAD_BYTES));
     let mut connection = builder.serve_connection(TokioIo::new(socket), service);
-    let next = tokio::select! {
-        // What has come is read before the connection counts as quiet.
+    let end = tokio::select! {
+        // Data that has arrived is read before the connection counts as idle.
         biased;
-        ended = &mut connection => Next::Ended(ended),
-        () = node.signals.closing.cancelled() => Next::Close,
-        () = traffic.quiet_for(REST_AFTER) => Next::Rest,
+        ended = &mut connection => ServeEnd::Ended(ended),
+        () = node.signals.closing.cancelled() => ServeEnd::Closing,
+        () = activity.idle_for(IDLE_AFTER) => ServeEnd::Idle,
     };
-    match next {
-        Next::Ended(Err(error)) if error.is_timeout() => {
+    match end {
+        ServeEnd::Ended(Err(error)) if error.is_timeout() => {
             let socket = socket_of(connection.into_parts());
-            return after_head_timeout(socket).await;
+            return after_header_timeout(socket).await;
         }
-        // With an error if its caller goes or sends what is no request: there is
-        // nobody to tell.
-        Next::Ended(_) => return None,
-        Next::Close => Pin::new(&mut connection).graceful_shutdown(),
-        Next::Rest => {
+        // An error means that the caller disconnected or sent invalid HTTP; there is
+        // nobody to report it to.
+        ServeEnd::Ended(_) => return None,
+        ServeEnd::Closing => Pin::new(&mut connection).graceful_shutdown(),
+        ServeEnd::Idle => {
             Pin::new(&mut connection).graceful_shutdown();
             let ended = std::future::poll_fn(|context| connection.poll_without_shutdown(context));
             if let Some(Ok(())) = ended.now_or_never() {
--- a/crates/hemlocktack-node/src/gateway/headers.rs
+++ b/crates/hemlocktack-node/src/gateway/headers.rs
@@ -1,4 +1,4 @@
-//! Which headers go on to the next party.
+//! Selects the headers that a proxy may forward.
 
 use bytes::Bytes;
 use hemlocktack_protocol::Header;
@@ -7,34 +7,34 @@
 
 use crate::callers::CONNECTION_HEADERS;
 
-/// The headers of a message that go on, but for those with one of the `dropped`
-/// names. The host goes on: upstreams of such interfaces read it.
+/// Returns the end-to-end headers of a message, without those named in `dropped`.
+/// `Host` is forwarded because upstreams of such interfaces read it.
 pub(crate) fn forwarded_headers(headers: &HeaderMap, dropped: &[&str]) -> Vec<Header> {
-    let named = named_by_connection(headers);
-    let mut passed = Vec::with_capacity(headers.len());
+    let connection_options = connection_options(headers);
+    let mut forwarded = Vec::with_capacity(headers.len());
     for (name, value) in headers {
         let name = name.as_str();
-        let stays = CONNECTION_HEADERS.contains(&name)
+        let is_dropped = CONNECTION_HEADERS.contains(&name)
             || dropped.contains(&name)
-            || named.iter().any(|named| named == name);
-        if !stays {
-            passed.push(Header {
+            || connection_options.iter().any(|option| option == name);
+        if !is_dropped {
+            forwarded.push(Header {
                 name: name.to_owned(),
                 value: Bytes::copy_from_slice(value.as_bytes()),
             });
         }
     }
-    passed
+    forwarded
 }
 
-/// Headers that the sender names as those of this connection.
-fn named_by_connection(headers: &HeaderMap) -> Vec<String> {
-    let mut named = Vec::new();
+/// Returns the hop-by-hop headers that the sender lists in `Connection`.
+fn connection_options(headers: &HeaderMap) -> Vec<String> {
+    let mut options = Vec::new();
     for value in headers.get_all(CONNECTION) {
         let Ok(text) = value.to_str() else { continue };
         for name in text.split(',') {
-            named.push(name.trim().to_ascii_lowercase());
+            options.push(name.trim().to_ascii_lowercase());
         }
     }
-    named
+    options
 }
--- a/crates/hemlocktack-node/src/gateway/mod.rs
+++ b/crates/hemlocktack-node/src/gateway/mod.rs
@@ -1,9 +1,9 @@
-//! HTTP towards callers and upstreams of a deployment that speaks an interface
-//! of its own.
+//! HTTP server for deployments whose callers and upstreams use a wire format of
+//! their own.
 //!
-//! Built on the HTTP library under the web framework of the product's own
-//! interface. The framework runs a handler to its end after its caller has
-//! gone, and its shutdown cuts kept connections; both are promises here.
+//! Uses hyper directly instead of the web framework behind the native interface:
+//! the framework keeps running a handler after its caller has disconnected, and its
+//! shutdown cuts keep-alive connections. The gateway guarantees neither happens.
 
 mod announcements;
 mod caller_socket;
--- a/crates/hemlocktack-node/src/gateway/requests.rs
+++ b/crates/hemlocktack-node/src/gateway/requests.rs
@@ -14,7 +14,7 @@
 use super::classify::{Routed, find_route};
 use super::lines::{ReadRequest, log_ended_by_limit, log_late, log_refused};
 use super::tracked_body::TrackedBody;
-use super::unread_body::refuse_beside;
+use super::unread_body::refuse_and_discard;
 use super::{forwarded_headers, server};
 use crate::calls::{self, Classified, not_run, retry_after};
 use crate::counters::InFlightGuard;
@@ -36,7 +36,7 @@
             let answer = not_run(reason, None);
             log_refused(&node, &unread, &answer);
             let refusal = refuse(interface, unread.request_id, answer);
-            return refuse_beside(refusal, &head, body);
+            return refuse_and_discard(refusal, &head, body);
         }
     };
     let read = ReadRequest::new(&node, &entered.request_id);
@@ -46,7 +46,7 @@
     if answer.outcome() != Outcome::Answered {
         log_refused(&node, &entered, &answer);
         let refusal = refuse(interface, entered.request_id, answer);
-        return refuse_beside(refusal, &head, body);
+        return refuse_and_discard(refusal, &head, body);
     }
     respond(answer, in_flight)
 }
@@ -181,7 +181,7 @@
         reason: answer.reason(),
         retry_after: retry_after(&answer).map(shortest),
     };
-    server::plain((interface.callers.write_error)(&refused))
+    server::untracked((interface.callers.write_error)(&refused))
 }
 
 /// Below this a caller would come back before anything can have changed.
--- a/crates/hemlocktack-node/src/gateway/server.rs
+++ b/crates/hemlocktack-node/src/gateway/server.rs
@@ -1,4 +1,4 @@
-//! A listener whose connections outlive a planned stop's beginning.
+//! HTTP listener that keeps serving open connections while the node drains.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,25 +14,24 @@
 use super::tracked_body::TrackedBody;
 use crate::node::Node;
 
-/// Pause after a failed accept: out of file descriptors, say, asking again at
-/// once would spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Answers that are ready leave within this time, also where the drain has taken
-/// all of its own.
-const LAST_ANSWERS_TIME: Duration = Duration::from_millis(200);
+/// Delay after a failed accept. Without it the loop would spin, for example while the
+/// process is out of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Time for sending responses that are ready when the drain limit is reached.
+const FINAL_RESPONSES_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Serves until the close.
+/// Accepts and serves connections until the node closes its listeners.
 ///
-/// A caller that closes its connection is noticed while its request waits: the
-/// library drops the handler then, and with it all that the request still has
-/// under way.
+/// If a caller disconnects while its request waits, hyper drops the handler, which
+/// cancels everything that the request still has in progress.
 pub(super) async fn serve<H, F>(node: Arc<Node>, listener: TcpListener, handle: H)
 where
     H: Fn(Arc<Node>, Request<Incoming>) -> F + Copy + Send + Sync + 'static,
     F: Future<Output = Response<TrackedBody>> + Send + 'static,
 {
-    // Waited for as connections are: none begins when none is left.
-    let _waited_for = node.connections.token();
+    // Makes `close` wait for this loop too, so that no connection starts after the last
+    // one has ended.
+    let _tracked = node.connections.token();
     loop {
         let accepted = tokio::select! {
             biased;
@@ -40,7 +39,7 @@
             accepted = listener.accept() => accepted,
         };
         let Ok((stream, _)) = accepted else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let connection = connection::serve(node.clone(), stream, handle);
@@ -48,14 +47,13 @@
     }
 }
 
-/// Takes no request any more and waits for the answers of those that were read.
+/// Stops accepting requests and waits for the responses to those already read.
 ///
-/// Failure: a caller goes on using its connection while the node stops. Its
-/// request is read and passed on in the moment in which nothing else is in
-/// flight, and the process ends under it: the caller gets no answer, and its
-/// booking may have been made. From here on a connection is closed between two
-/// requests or after an answer, so that the end of the process cuts none. Where the
-/// drain's limit comes before an answer, the caller is told what is known by then.
+/// Without this, a request that arrives on a keep-alive connection just as the last call
+/// ends would be forwarded and then cut by the exit of the process: the caller gets no
+/// answer although its request may have run. From here on, connections are closed only
+/// between two requests or after a response. If the drain limit is reached before a
+/// response, the caller is told the outcome as far as it is known.
 pub(crate) async fn close(node: &Node) {
     node.signals.closing.cancel();
     node.connections.close();
@@ -65,7 +63,7 @@
     let in_flight = node.counters.in_flight();
     log_event!(Event::DrainLimitReached, in_flight);
     node.signals.drain_limit_reached.cancel();
-    connections_end_within(node, LAST_ANSWERS_TIME).await;
+    connections_end_within(node, FINAL_RESPONSES_TIMEOUT).await;
 }
 
 async fn connections_end_within(node: &Node, limit: Duration) -> bool {
@@ -73,7 +71,7 @@
     ended.await.is_ok()
 }
 
-/// A short answer of the node itself.
-pub(super) fn plain(response: Response<Bytes>) -> Response<TrackedBody> {
+/// Wraps a response of the node itself, which does not count as a call in flight.
+pub(super) fn untracked(response: Response<Bytes>) -> Response<TrackedBody> {
     response.map(|body| TrackedBody::new(Full::new(body), None))
 }
--- a/crates/hemlocktack-node/src/gateway/start.rs
+++ b/crates/hemlocktack-node/src/gateway/start.rs
@@ -1,4 +1,4 @@
-//! Opens the listeners of an interface.
+//! Opens the gateway's listeners.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,13 +9,13 @@
 use crate::node::Node;
 use crate::run::{Result, listen};
 
-/// Listens for callers, announcements and questions for readiness.
+/// Listens for callers, announcements and readiness probes.
 pub(crate) async fn start(node: &Arc<Node>, interface: Interface) -> Result<()> {
     let settings = &node.settings;
     let callers = listen(settings.caller_address).await?;
     let handle = move |node, request| requests::answer(node, interface, request);
     tokio::spawn(server::serve(node.clone(), callers, handle));
-    for address in own_addresses(settings.announce_address, settings.readiness_address) {
+    for address in probe_addresses(settings.announce_address, settings.readiness_address) {
         let listener = listen(address).await?;
         let handle = move |node, request| announcements::answer(node, interface, request);
         tokio::spawn(server::serve(node.clone(), listener, handle));
@@ -24,8 +24,9 @@
     Ok(())
 }
 
-/// Both questions may come in at one address.
-fn own_addresses(
+/// Returns the distinct addresses for announcements and readiness probes, which may be
+/// the same.
+fn probe_addresses(
     announce: Option<SocketAddr>,
     readiness: Option<SocketAddr>,
 ) -> impl Iterator<Item = SocketAddr> {
--- a/crates/hemlocktack-node/src/gateway/tests.rs
+++ b/crates/hemlocktack-node/src/gateway/tests.rs
@@ -1,7 +1,7 @@
-//! The close of the listeners, and what comes in its moment.
+//! Closing the listeners while connections and requests arrive.
 //!
-//! A test's own future runs before all tasks that wake with it, so that what it
-//! does then comes before what they find ready in the same turn.
+//! The runtime polls a test's own future before the tasks that are woken in the same
+//! turn, so what the test does in that turn happens before those tasks see it.
 
 #![allow(clippy::unwrap_used)]
 
@@ -32,42 +32,42 @@
     b"POST /book/x HTTP/1.1\r\nhost: flats.example\r\ncontent-length: 8\r\n\r\nhalf";
 const OTHER_HALF: &[u8] = b"half";
 const SERVICE: &str = "listings";
-/// Where two branches are ready, one is taken at random: so many rounds leave no
-/// doubt about either.
+/// An unbiased `select!` picks a ready branch at random; with this many rounds each
+/// branch is practically certain to be picked.
 const ROUNDS: usize = 64;
-/// In which tasks do what they were woken for.
+/// Time in which woken tasks run.
 const A_FEW_TURNS: Duration = Duration::from_millis(5);
-/// Turns in which a connection without a request gives its buffers back, with
-/// some to spare for a machine that stands still in between.
-const TURNS_UNTIL_AT_REST: usize = 200;
+/// Turns until a connection without a request has released its buffers, with a margin
+/// for a stalled machine.
+const TURNS_UNTIL_IDLE: usize = 200;
 
-/// A listener that counts the requests that it reads.
-struct Served {
+/// A listener that counts the requests it reads.
+struct TestServer {
     node: Arc<Node>,
     address: SocketAddr,
     read_count: &'static AtomicUsize,
 }
 
-impl Served {
-    /// Reads requests and answers them itself.
+impl TestServer {
+    /// Starts a server that answers requests itself.
     async fn start() -> Self {
         let read_count: &'static AtomicUsize = Box::leak(Box::default());
         let handle = move |_, _| async move {
             read_count.fetch_add(1, Ordering::SeqCst);
-            server::plain(Response::new(Bytes::new()))
+            server::untracked(Response::new(Bytes::new()))
         };
         Self::start_with(handle, read_count).await
     }
 
-    /// Places requests on a service that has no nodes.
+    /// Starts a server that places requests on a service without nodes.
     async fn start_placing() -> Self {
         let handle = |node, request| requests::answer(node, interface(), request);
-        let served = Self::start_with(handle, Box::leak(Box::default())).await;
-        served.node.install_configuration(ConfigurationDocument {
+        let server = Self::start_with(handle, Box::leak(Box::default())).await;
+        server.node.install_configuration(ConfigurationDocument {
             generation: 1,
             ..ConfigurationDocument::default()
         });
-        served
+        server
     }
 
     async fn start_with<H, F>(handle: H, read_count: &'static AtomicUsize) -> Self
@@ -91,12 +91,12 @@
         self.read_count.load(Ordering::SeqCst)
     }
 
-    /// Lets something happen in the same turn as the close, which is first.
-    async fn close_while(&self, happening: impl FnOnce()) {
+    /// Runs `event` in the same turn as the close, which the tasks see first.
+    async fn close_while(&self, event: impl FnOnce()) {
         let (alarm, woken) = UnixStream::pair().unwrap();
         tokio::time::sleep(A_FEW_TURNS).await;
         alarm.try_write(b"!").unwrap();
-        happening();
+        event();
         woken.readable().await.unwrap();
         self.node.begin_stop();
         server::close(&self.node).await;
@@ -116,7 +116,7 @@
     node
 }
 
-/// The deployment's, with a configuration that is not read from a text.
+/// Returns the deployment's interface with a fixed configuration instead of a parsed one.
 fn interface() -> Interface {
     Interface {
         read_configuration: |_| Ok(document()),
@@ -124,7 +124,7 @@
     }
 }
 
-/// One route to one service.
+/// Returns a configuration with one route to one service.
 fn document() -> Document {
     let client_limits = ClientLimits {
         header_limit_bytes: 16 << 10,
@@ -169,81 +169,81 @@
     }
 }
 
-/// A caller connects in the moment in which no connection is left and the
-/// listener closes: its request is passed on, and the process ends under it.
+/// Guards against serving a caller that connects just as the last connection has ended
+/// and the listener closes: its request would be forwarded while the process exits.
 #[tokio::test]
-async fn a_connection_in_the_moment_of_the_close_is_not_served_when_none_is_waited_for() {
+async fn a_connection_made_during_the_close_is_not_served_when_no_other_is_open() {
     for round in 0..ROUNDS {
-        let served = Served::start().await;
+        let server = TestServer::start().await;
         let mut caller = None;
         let connect = || {
-            let mut stream = TcpStream::connect(served.address).unwrap();
+            let mut stream = TcpStream::connect(server.address).unwrap();
             stream.write_all(REQUEST).unwrap();
             caller = Some(stream);
         };
-        served.close_while(connect).await;
-        let reads_until_the_close = served.reads();
+        server.close_while(connect).await;
+        let reads_before_close = server.reads();
         tokio::time::sleep(A_FEW_TURNS).await;
-        assert_eq!(served.reads(), reads_until_the_close, "round {round}");
+        assert_eq!(server.reads(), reads_before_close, "round {round}");
     }
 }
 
-/// Bytes come on connections at rest in the moment of the close: requests are
-/// read that the stop has no time left for.
+/// Guards against reading requests that arrive on idle connections during the close, when
+/// the stop may have no time left for them.
 #[tokio::test]
-async fn bytes_on_resting_connections_in_the_moment_of_the_close_are_not_read() {
-    let served = Served::start().await;
-    let connect = |_| TcpStream::connect(served.address).unwrap();
+async fn data_on_idle_connections_during_the_close_is_not_read() {
+    let server = TestServer::start().await;
+    let connect = |_| TcpStream::connect(server.address).unwrap();
     let mut callers: Vec<_> = (0..ROUNDS).map(connect).collect();
-    for _ in 0..TURNS_UNTIL_AT_REST {
+    for _ in 0..TURNS_UNTIL_IDLE {
         tokio::time::sleep(A_FEW_TURNS).await;
     }
     let send = |caller: &mut TcpStream| caller.write_all(REQUEST).unwrap();
-    served
+    server
         .close_while(|| callers.iter_mut().for_each(send))
         .await;
-    assert_eq!(served.reads(), 0, "of {ROUNDS}");
+    assert_eq!(server.reads(), 0, "of {ROUNDS}");
 }
 
-/// A connection is in use, and its next request comes in the moment of the close.
-/// It is read; passed on, it would run in a time that the stop may not have.
+/// Guards against placing a request that arrives on an active connection during the close:
+/// it is read, but would run longer than the stop may last.
 #[tokio::test]
-async fn a_request_that_is_read_after_the_close_is_refused_and_not_placed() {
-    let served = Served::start_placing().await;
-    let mut caller = tokio::net::TcpStream::connect(served.address)
+async fn a_request_read_after_the_close_is_refused_and_not_placed() {
+    let server = TestServer::start_placing().await;
+    let mut caller = tokio::net::TcpStream::connect(server.address)
         .await
         .unwrap();
     caller.write_all(REQUEST).await.unwrap();
     let mut first_answer = [0; 1_024];
     assert_ne!(caller.read(&mut first_answer).await.unwrap(), 0);
     let send = || assert_eq!(caller.try_write(REQUEST).unwrap(), REQUEST.len());
-    served.close_while(send).await;
+    server.close_while(send).await;
     let mut answer = String::new();
-    // A machine that stands still for half a second lets the connection come to
-    // rest, which is closed unread.
+    // If the machine stalls for half a second, the connection becomes idle and is closed
+    // without being read.
     if caller.read_to_string(&mut answer).await.is_ok() {
-        assert_refused_by_the_stop(&answer);
+        assert_refused_as_draining(&answer);
     }
 }
 
-/// An upload is under way at the close, and the rest of it comes then.
+/// Guards against placing a request whose upload began before the close and ends after it.
 #[tokio::test]
 async fn an_upload_that_ends_after_the_close_is_refused_and_not_placed() {
-    let served = Served::start_placing().await;
-    let mut caller = TcpStream::connect(served.address).unwrap();
+    let server = TestServer::start_placing().await;
+    let mut caller = TcpStream::connect(server.address).unwrap();
     caller.write_all(HALF_UPLOAD).unwrap();
-    while served.node.counters.in_flight() == 0 {
+    while server.node.counters.in_flight() == 0 {
         tokio::time::sleep(A_FEW_TURNS).await;
     }
-    served
+    server
         .close_while(|| caller.write_all(OTHER_HALF).unwrap())
         .await;
     let mut answer = String::new();
     caller.read_to_string(&mut answer).unwrap();
-    assert_refused_by_the_stop(&answer);
+    assert_refused_as_draining(&answer);
 }
 
-fn assert_refused_by_the_stop(answer: &str) {
+fn assert_refused_as_draining(answer: &str) {
     assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
     assert!(answer.contains("connection: close"), "{answer}");
     assert!(answer.ends_with("{\"error\":\"draining\"}"), "{answer}");
--- a/crates/hemlocktack-node/src/gateway/tracked_body.rs
+++ b/crates/hemlocktack-node/src/gateway/tracked_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer on its way to the caller.
+//! A response body that keeps its call in flight until it is sent.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -9,8 +9,8 @@
 
 use crate::counters::InFlightGuard;
 
-/// Body of an answer; its call stays in flight until the HTTP library has
-/// taken all of it or has dropped it because the caller is gone.
+/// Body of a response. Its call counts as in flight until hyper has read the whole
+/// body, or has dropped it because the caller disconnected.
 pub(super) struct TrackedBody {
     body: Full<Bytes>,
     _in_flight: Option<InFlightGuard>,
--- a/crates/hemlocktack-node/src/gateway/unread_body.rs
+++ b/crates/hemlocktack-node/src/gateway/unread_body.rs
@@ -1,4 +1,4 @@
-//! The rest of a body that nobody needs, as its request is refused before its end.
+//! Handles the unread rest of a request body after an early refusal.
 
 use http::header::{CONNECTION, EXPECT};
 use http::{HeaderValue, Response, request};
@@ -8,9 +8,9 @@
 use super::tracked_body::TrackedBody;
 use crate::refused_body::discard_with_timeout;
 
-/// Lets the caller send the rest of its body beside the refusal; the connection is
-/// closed after that.
-pub(super) fn refuse_beside(
+/// Sends the refusal while the rest of the request body is read and discarded, and
+/// closes the connection afterwards.
+pub(super) fn refuse_and_discard(
     mut refusal: Response<TrackedBody>,
     head: &request::Parts,
     body: Incoming,
@@ -20,13 +20,13 @@
     }
     let close = HeaderValue::from_static("close");
     refusal.headers_mut().insert(CONNECTION, close);
-    // A caller that waits for leave to send its body gets the refusal in its place.
+    // A caller that sent `Expect` gets the refusal instead of `100 Continue` and sends no body.
     if !head.headers.contains_key(EXPECT) {
-        tokio::spawn(discard_with_timeout(take_rest(body)));
+        tokio::spawn(discard_with_timeout(read_to_end(body)));
     }
     refusal
 }
 
-async fn take_rest(mut body: Incoming) {
+async fn read_to_end(mut body: Incoming) {
     while let Some(Ok(_)) = body.frame().await {}
 }
