--- a/crates/hemlocktack-node/src/control.rs
+++ b/crates/hemlocktack-node/src/control.rs
@@ -1,4 +1,4 @@
-//! Health, readiness and metrics on the control address.
+//! Health, readiness and metrics endpoints on the control address.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use crate::node::Node;
 use crate::telemetry;
 
-/// Routes for orchestrators and scrapers.
+/// Returns the routes for orchestrators and metric scrapers.
 pub(crate) fn routes() -> Vec<Route> {
     routes![health, ready, metrics]
 }
@@ -19,7 +19,7 @@
     "ok\n"
 }
 
-/// Ready means: a configuration is in force and calls are taken.
+/// Reports ready once a configuration is active and the node accepts calls.
 #[get("/ready")]
 fn ready(node: &State<Arc<Node>>) -> (Status, String) {
     let state = node.state();
--- a/crates/hemlocktack-node/src/counters.rs
+++ b/crates/hemlocktack-node/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counts of calls, kept without locks on the request path.
+//! Call counters, updated without locks on the request path.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,18 +8,18 @@
 use strum::{EnumCount, IntoEnumIterator};
 
 /// Larger than any number of a `Reason` in the schema.
-const REASON_NUMBERS: usize = 64;
+const REASON_SLOTS: usize = 64;
 
-/// Counts since the node's start.
+/// Counts since the node started.
 pub(crate) struct Counters {
     in_flight: Arc<AtomicU64>,
     demand: AtomicU64,
     admitted: AtomicU64,
     ended_sends: [AtomicU64; NextStep::COUNT],
-    refused: [AtomicU64; REASON_NUMBERS],
+    refused: [AtomicU64; REASON_SLOTS],
 }
 
-/// One call in flight; goes wherever its answer goes.
+/// Counts one call as in flight until it is dropped. It travels with the call's answer.
 pub(crate) struct InFlightGuard {
     in_flight: Arc<AtomicU64>,
 }
@@ -37,7 +37,8 @@
 }
 
 impl Counters {
-    /// Counts a call until the guard goes; a planned stop waits for all guards.
+    /// Counts a call as in flight until the guard is dropped. A planned stop waits until
+    /// no guard is left.
     pub(crate) fn track_call(&self) -> InFlightGuard {
         self.in_flight.fetch_add(1, Ordering::AcqRel);
         InFlightGuard {
@@ -49,7 +50,7 @@
         self.in_flight.load(Ordering::Acquire)
     }
 
-    /// A call reached the upstream side.
+    /// Counts a call that reached the upstream side.
     pub(crate) fn record_demand(&self) {
         self.demand.fetch_add(1, Ordering::Relaxed);
     }
@@ -58,7 +59,7 @@
         self.demand.load(Ordering::Relaxed)
     }
 
-    /// A call got a slot of the upstream.
+    /// Counts a call that got a slot of the upstream.
     pub(crate) fn record_admitted(&self) {
         self.admitted.fetch_add(1, Ordering::Relaxed);
     }
@@ -67,7 +68,7 @@
         self.admitted.load(Ordering::Relaxed)
     }
 
-    /// A send ended without an answer, and this followed.
+    /// Counts a send that ended without an answer, by the step that followed it.
     pub(crate) fn record_send_end(&self, next: NextStep) {
         self.ended_sends[next as usize].fetch_add(1, Ordering::Relaxed);
     }
@@ -80,14 +81,14 @@
         self.ended_sends_count(NextStep::Retried)
     }
 
-    /// The upstream side refused a call.
+    /// Counts a call that the upstream side refused.
     pub(crate) fn record_refusal(&self, reason: Reason) {
         if let Some(count) = self.refused.get(reason as usize) {
             count.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// Refusals by reason, those that happened.
+    /// Returns the non-zero refusal counts by reason.
     pub(crate) fn refusals(&self) -> Vec<RefusalCount> {
         let mut refusals = Vec::new();
         for reason in Reason::iter() {
--- a/crates/hemlocktack-node/src/interfaces.rs
+++ b/crates/hemlocktack-node/src/interfaces.rs
@@ -1,12 +1,11 @@
-//! The interfaces that a node can speak beside its own.
+//! Interfaces of other deployments that a node supports besides the native one.
 
 use hemlocktack_interface::Interface;
 use hemlocktack_protocol::ConfigurationDocument;
 
 use crate::settings::InterfaceName;
 
-/// `None` for the product's own interface, which is not translated by a package
-/// of its own.
+/// Returns the adapter of an interface; `None` for the native interface, which needs none.
 pub(crate) fn find(name: InterfaceName) -> Option<Interface> {
     match name {
         InterfaceName::Own => None,
@@ -14,7 +13,7 @@
     }
 }
 
-/// Whether a stored configuration can be brought into force.
+/// Returns the check whether a stored configuration can be parsed and activated.
 pub(crate) fn can_read(name: InterfaceName) -> fn(&ConfigurationDocument) -> bool {
     match name {
         InterfaceName::Own => |stored| hemlocktack_config::parse(&stored.document).is_ok(),
--- a/crates/hemlocktack-node/src/lib.rs
+++ b/crates/hemlocktack-node/src/lib.rs
@@ -1,5 +1,5 @@
-//! The node beside each upstream instance: takes calls, places them, admits
-//! them to its upstream, and answers for their outcome.
+//! The node that runs beside each upstream instance. It accepts calls, places them on
+//! nodes, admits them to its upstream, and reports their outcome.
 
 mod callers;
 mod calls;
--- a/crates/hemlocktack-node/src/main.rs
+++ b/crates/hemlocktack-node/src/main.rs
@@ -1,4 +1,4 @@
-//! `hemlocktackd`: one node beside one upstream instance.
+//! `hemlocktackd`: runs one node beside one upstream instance.
 
 use std::process::ExitCode;
 
--- a/crates/hemlocktack-node/src/node/mod.rs
+++ b/crates/hemlocktack-node/src/node/mod.rs
@@ -176,7 +176,7 @@
     }
 
     /// Takes over changed settings.
-    pub(crate) fn adjust(&self, adjustable: &AdjustableSettings) {
+    pub(crate) fn apply_settings(&self, adjustable: &AdjustableSettings) {
         self.adjustable.store(Arc::new(adjustable.clone()));
         self.platform.set_rates(adjustable.platform_rates);
         let drain_limit = policies::drain_limit(adjustable);
--- a/crates/hemlocktack-node/src/refused_body.rs
+++ b/crates/hemlocktack-node/src/refused_body.rs
@@ -1,14 +1,14 @@
-//! The rest of a body whose request is refused before its end.
+//! Discards the rest of a request body after its request was refused.
 
 use std::time::Duration;
 
-/// Longest that a caller may go on sending a body that is refused.
-const REST_TAKEN_FOR: Duration = Duration::from_secs(2);
+/// Longest time for which a caller may keep sending a body that was refused.
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Takes the rest of a body that nobody needs, for a while.
+/// Runs `read_rest`, which reads the rest of a body, for a limited time.
 ///
-/// Failure: a connection that is closed with bytes unread is reset, and the reset
-/// takes the refusal away from a caller that reads it once all is sent.
-pub(crate) async fn discard_with_timeout(rest_taken: impl Future) {
-    let _ = tokio::time::timeout(REST_TAKEN_FOR, rest_taken).await;
+/// Closing a connection with unread bytes resets it, and the reset makes a caller that
+/// reads only after sending everything lose the refusal.
+pub(crate) async fn discard_with_timeout(read_rest: impl Future) {
+    let _ = tokio::time::timeout(DISCARD_TIMEOUT, read_rest).await;
 }
--- a/crates/hemlocktack-node/src/reload.rs
+++ b/crates/hemlocktack-node/src/reload.rs
@@ -1,4 +1,4 @@
-//! Takes over changed settings while the node runs.
+//! Reloads changed settings while the node runs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,37 +9,36 @@
 use crate::node::Node;
 use crate::settings::{FileContents, LoadedSettings, Sources};
 
-/// How often the settings file is compared with what was read last: a change
-/// without a signal is in force about as soon as a new configuration.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+/// How often the settings file is compared with what was last read. With this interval a
+/// change without a signal takes effect about as soon as a new configuration does.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Reads the settings again at SIGHUP and when their file has changed, for as
-/// long as the process lives.
+/// Reloads the settings on SIGHUP and whenever their file has changed, for the lifetime
+/// of the process. An invalid file leaves the current settings unchanged.
 ///
-/// Failure: the platform tells all nodes that a settings file has changed, and
-/// the default of the signal ends them with their callers' requests. A file
-/// that cannot be used leaves what is in force.
+/// Handling SIGHUP matters: platforms send it to all nodes when a settings file changes,
+/// and its default action would terminate the process with its callers' requests.
 pub(crate) async fn follow_settings(node: Arc<Node>, sources: Sources, mut loaded: LoadedSettings) {
     let Ok(mut reload) = signal(SignalKind::hangup()) else {
         return;
     };
     let mut contents = sources.file_contents();
     loop {
-        let is_asked = is_asked(&mut reload).await;
-        let now = sources.file_contents();
-        if !is_asked && now == contents {
+        let is_signalled = wait_for_signal(&mut reload).await;
+        let current = sources.file_contents();
+        if !is_signalled && current == contents {
             continue;
         }
-        contents = now;
-        if says_nothing(&contents) {
-            let faults = "the file is empty, as while it is being written";
+        contents = current;
+        if is_blank(&contents) {
+            let faults = "the file is empty; it may be in the middle of being written";
             log_event!(Event::SettingsFaulty, faults);
             continue;
         }
         match sources.read(contents.clone()) {
-            Ok(read) => {
-                adopt(&node, &read, &loaded);
-                loaded = read;
+            Ok(reloaded) => {
+                apply(&node, &reloaded, &loaded);
+                loaded = reloaded;
             }
             Err(error) => {
                 let faults = error.in_one_line();
@@ -49,26 +48,27 @@
     }
 }
 
-/// Failure: a tool cuts the file to nothing and then writes it, and the node looks
-/// in between. Symptom: an empty file passes for settings that say nothing, and
-/// operators are refused until the next look. A file of a few hundred bytes is
-/// written in one piece, and whoever wants no setting in it can leave a comment, so
-/// it is enough to pass over an empty one.
-fn says_nothing(contents: &FileContents) -> bool {
+/// Returns whether the file has no content at all; such a file is ignored.
+///
+/// A tool may truncate the file before it writes it, and the node may read it in between.
+/// Taken as valid, the empty file would remove all settings in it, and operators would be
+/// refused until the next poll. Ignoring empty files is enough, because a few hundred bytes
+/// are written in one call; a file without settings can contain a comment instead.
+fn is_blank(contents: &FileContents) -> bool {
     matches!(contents, Some(Ok(bytes)) if bytes.trim_ascii().is_empty())
 }
 
-/// Whether the signal came before the next look was due.
-async fn is_asked(reload: &mut Signal) -> bool {
+/// Waits for SIGHUP or the next poll; returns whether the signal came first.
+async fn wait_for_signal(reload: &mut Signal) -> bool {
     tokio::select! {
         _ = reload.recv() => true,
-        () = tokio::time::sleep(LOOK_EVERY) => false,
+        () = tokio::time::sleep(POLL_INTERVAL) => false,
     }
 }
 
-fn adopt(node: &Node, read: &LoadedSettings, before: &LoadedSettings) {
-    node.adjust(&read.adjustable);
-    let changes = read.changes_since(before);
+fn apply(node: &Node, reloaded: &LoadedSettings, before: &LoadedSettings) {
+    node.apply_settings(&reloaded.adjustable);
+    let changes = reloaded.changes_since(before);
     log_event!(
         Event::SettingsReloaded,
         adjusted = changes.adjusted.join(","),
--- a/crates/hemlocktack-node/src/run.rs
+++ b/crates/hemlocktack-node/src/run.rs
@@ -1,4 +1,4 @@
-//! From the command line to a running node and to its planned stop.
+//! Starts a node from the command line, runs it, and stops it after a drain.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -25,20 +25,20 @@
 /// Result of starting a node.
 pub(crate) type Result<T> = std::result::Result<T, StartError>;
 
-/// Seconds in which the last pieces of answers leave after the drain, which has
-/// waited for all but what the HTTP server holds of each; longer waits would only serve connections that are kept open
-/// with nothing on them, which the framework waits for as well.
-const LAST_ANSWERS_S: u32 = 2;
-/// Seconds in which connections close after that.
-const CLOSING_S: u32 = 1;
-/// Waits after failures of a platform whose changes have to be in force within
-/// a second or two of its return. Few nodes of a data centre call it at all
-/// once they have found each other.
+/// Seconds for sending the ends of responses after the drain, which has already waited for
+/// everything but what the HTTP server has buffered. The framework also waits for idle
+/// keep-alive connections, so a longer time would only delay the exit.
+const SHUTDOWN_GRACE_S: u32 = 2;
+/// Seconds for closing the connections after that.
+const SHUTDOWN_MERCY_S: u32 = 1;
+/// Backoff for a platform whose changes must take effect within a second or two of its
+/// return. The load is low: once the nodes of a data centre have found each other, few of
+/// them call the platform.
 const SHORT_BACKOFF: BackoffSettings = BackoffSettings {
     first: Duration::from_millis(100),
     longest: Duration::from_secs(1),
 };
-/// Exit code for settings that cannot be used.
+/// Exit code for invalid settings.
 const EXIT_BAD_SETTINGS: u8 = 2;
 
 /// Why a node did not start.
@@ -50,11 +50,11 @@
         address: SocketAddr,
         source: std::io::Error,
     },
-    #[display("no runtime: {_0}")]
+    #[display("cannot start the async runtime: {_0}")]
     Runtime(std::io::Error),
-    #[display("no HTTP client: {_0}")]
+    #[display("cannot create the HTTP client: {_0}")]
     HttpClient(reqwest::Error),
-    #[display("HTTP listener: {_0}")]
+    #[display("HTTP listener failed: {_0}")]
     Rocket(Box<rocket::Error>),
     #[display("{_0}")]
     FleetKey(KeyError),
@@ -64,17 +64,17 @@
     Platform(hemlocktack_platform::Error),
 }
 
-/// Reads the settings and runs the node until it is told to stop.
+/// Reads the settings and runs the node until it is stopped.
 ///
-/// Exit codes: 0 after a planned stop, `--help`, `--version` or a clean
-/// `--check`; 1 if the node could not start; 2 for settings that cannot be used.
+/// Exit codes: 0 after a planned stop, `--help`, `--version` or a successful
+/// `--check`; 1 if the node could not start; 2 for invalid settings.
 pub fn run_from_command_line() -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     match settings::read(&arguments, |name| std::env::var(name).ok()) {
         Ok(Invocation::Help) => print!("{}", settings::usage()),
         Ok(Invocation::Version) => println!("hemlocktackd {}", env!("CARGO_PKG_VERSION")),
-        Ok(Invocation::Check) => println!("settings are usable"),
-        Ok(Invocation::Run(order)) => return run_to_exit_code(*order),
+        Ok(Invocation::Check) => println!("the settings are valid"),
+        Ok(Invocation::Run(settings)) => return run_to_exit_code(*settings),
         Err(error) => {
             eprintln!("{error}");
             return ExitCode::from(EXIT_BAD_SETTINGS);
@@ -83,25 +83,28 @@
     ExitCode::SUCCESS
 }
 
-/// Runs a node in this process until `stop` ends, with the flags of
-/// `hemlocktackd`; for examples and tests. It drains before it returns.
+/// Runs a node in this process, with the flags of `hemlocktackd`, until `stop` completes;
+/// drains before it returns. For examples and tests.
 ///
 /// # Errors
-/// All faults of the flags in one text, or why the node did not start.
+/// All invalid flags in one text, or why the node did not start.
 pub async fn run_until(
     arguments: &[String],
     stop: impl Future<Output = ()>,
 ) -> std::result::Result<(), String> {
     match settings::read(arguments, |_| None) {
-        Ok(Invocation::Run(order)) => run(*order, stop).await.map_err(|error| error.to_string()),
-        Ok(_) => Err("the flags do not ask for a run".to_owned()),
+        Ok(Invocation::Run(settings)) => {
+            let result = run(*settings, stop).await;
+            result.map_err(|error| error.to_string())
+        }
+        Ok(_) => Err("the flags do not start a node".to_owned()),
         Err(error) => Err(error.to_string()),
     }
 }
 
-fn run_to_exit_code(order: RunSettings) -> ExitCode {
-    let _written_before_exit = telemetry::start_logs(order.loaded.settings.log_format);
-    match run_on_runtime(order) {
+fn run_to_exit_code(settings: RunSettings) -> ExitCode {
+    let _flushed_before_exit = telemetry::start_logs(settings.loaded.settings.log_format);
+    match run_on_runtime(settings) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             log_event!(Event::NodeFailed, %error);
@@ -111,21 +114,24 @@
     }
 }
 
-fn run_on_runtime(order: RunSettings) -> Result<()> {
+fn run_on_runtime(settings: RunSettings) -> Result<()> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()?;
     runtime.block_on(async {
-        // Before anything listens: until then the signal ends the process, and
-        // whatever it has taken with it.
+        // Installed before anything listens: until then the signal terminates the process
+        // at once, with every request it has accepted.
         let stop_signal = stop::stop_signal();
-        run(order, stop_signal).await
+        run(settings, stop_signal).await
     })
 }
 
-/// Runs one node until `stop_signal` ends; then drains and stops it.
-pub(crate) async fn run(order: RunSettings, stop_signal: impl Future<Output = ()>) -> Result<()> {
-    let RunSettings { loaded, sources } = order;
+/// Runs one node until `stop_signal` completes; then drains and stops it.
+pub(crate) async fn run(
+    settings: RunSettings,
+    stop_signal: impl Future<Output = ()>,
+) -> Result<()> {
+    let RunSettings { loaded, sources } = settings;
     let node = new_node(loaded.settings.clone(), loaded.adjustable.clone())?;
     let interface = node.interface;
     let node = Arc::new(node);
@@ -138,7 +144,7 @@
         .mount("/", operators::routes(&node));
     let callers = match interface {
         Some(_) => None,
-        None => Some(own_callers(&node).await?),
+        None => Some(caller_server(&node).await?),
     };
     let control = control.ignite().await.map_err(Box::new)?;
     let mut shutdowns = vec![control.shutdown()];
@@ -175,21 +181,20 @@
     }
     peers::say_farewell(&node).await;
     node.signals.stopped.cancel();
-    // The gateway's answers have left with their calls, and the process has
-    // little time left.
+    // The gateway has already sent its responses, and the process has little time left.
     if interface.is_some() {
         return Ok(());
     }
     for shutdown in shutdowns {
         shutdown.notify();
     }
-    // The calls have ended, but the last pieces of answers, and an operator's
-    // answer on the control port, may still be on their way out.
+    // All calls have ended, but the ends of their responses, or the response to an operator
+    // on the control address, may not be sent yet.
     let _ = tokio::join!(callers, control);
     Ok(())
 }
 
-/// A node that nothing has been started for.
+/// Creates a node without starting its tasks and listeners.
 pub(crate) fn new_node(settings: Settings, adjustable: AdjustableSettings) -> Result<Node> {
     let previous = settings.previous_fleet_key.as_deref().map(str::as_bytes);
     let keys = FleetKeys::new(settings.fleet_key.as_bytes(), previous)?;
@@ -207,13 +212,13 @@
     ))
 }
 
-async fn own_callers(node: &Arc<Node>) -> Result<Rocket<Ignite>> {
+async fn caller_server(node: &Arc<Node>) -> Result<Rocket<Ignite>> {
     let callers = http(node, node.settings.caller_address).mount("/", callers::routes(node));
     Ok(callers.ignite().await.map_err(Box::new)?)
 }
 
-/// Callers who speak another interface have listeners that last until the
-/// process ends.
+/// Serves callers of the native interface. With another interface the gateway serves them,
+/// whose listeners stay open until the process exits.
 async fn serve_callers(callers: Option<Rocket<Ignite>>) -> Result<()> {
     match callers {
         Some(callers) => serve_http(callers).await,
@@ -226,23 +231,23 @@
     adjustable: &AdjustableSettings,
     interface: Option<Interface>,
 ) -> ClientSettings {
-    let usual = ClientSettings::new(&settings.platform_url);
+    let defaults = ClientSettings::new(&settings.platform_url);
     ClientSettings {
-        codec: interface.map_or(usual.codec, |interface| interface.store),
+        codec: interface.map_or(defaults.codec, |interface| interface.store),
         rates: adjustable.platform_rates,
         backoff: match interface {
             Some(_) => SHORT_BACKOFF,
-            None => usual.backoff,
+            None => defaults.backoff,
         },
-        ..usual
+        ..defaults
     }
 }
 
-/// Serves until it is told to stop and the last answers have left.
+/// Serves until shutdown is requested and the last responses are sent.
 async fn serve_http(rocket: Rocket<Ignite>) -> Result<()> {
     match rocket.launch().await {
         Ok(_) => Ok(()),
-        // Connections that a caller keeps open were closed: no answer was on them.
+        // Only idle keep-alive connections were closed; no response was lost.
         Err(error) if matches!(error.kind(), ErrorKind::Shutdown(..)) => Ok(()),
         Err(error) => Err(Box::new(error).into()),
     }
@@ -254,8 +259,8 @@
         .map_err(|source| StartError::Listen { address, source })
 }
 
-/// An HTTP listener whose own signal handling and grace period are off: the
-/// node has drained before the listener is told to stop.
+/// Builds an HTTP server without the framework's signal handling, and with a short grace
+/// period: the node has drained before the server is told to stop.
 fn http(node: &Arc<Node>, address: SocketAddr) -> Rocket<Build> {
     let mut config = Config {
         address: address.ip(),
@@ -266,9 +271,9 @@
     config.cli_colors = false;
     config.shutdown.ctrlc = false;
     config.shutdown.signals.clear();
-    config.shutdown.grace = LAST_ANSWERS_S;
-    config.shutdown.mercy = CLOSING_S;
-    // The framework's own headers would mix with the upstream's.
+    config.shutdown.grace = SHUTDOWN_GRACE_S;
+    config.shutdown.mercy = SHUTDOWN_MERCY_S;
+    // The framework's own headers would mix with those of the upstream.
     config.ident = rocket::config::Ident::none();
     rocket::custom(config)
         .attach(rocket::shield::Shield::new())
--- a/crates/hemlocktack-node/src/sockets.rs
+++ b/crates/hemlocktack-node/src/sockets.rs
@@ -1,4 +1,4 @@
-//! Options of the sockets that calls go over.
+//! Options of the sockets that carry calls.
 
 use std::io::Result;
 use std::time::Duration;
@@ -6,34 +6,34 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 
-/// A connection that carries nothing is probed after this, and again as often.
-const PROBED_AFTER: Duration = Duration::from_secs(1);
-/// Probes without an answer after which it is given up.
-const PROBES: u32 = 2;
-/// Bytes that the peer has not acknowledged for this long end the connection.
-/// Instances answer within a few milliseconds; a packet that is lost is sent
-/// again three times within this.
-const UNACKNOWLEDGED_FOR: Duration = Duration::from_millis(1_500);
+/// Idle time before the first keep-alive probe, and the interval between probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Unanswered keep-alive probes after which the connection is closed.
+const KEEPALIVE_PROBES: u32 = 2;
+/// The connection is closed if sent bytes stay unacknowledged for this long. Instances
+/// acknowledge within a few milliseconds, and a lost packet is retransmitted three times
+/// within this time.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Sends at once, and notices a silent connection while it carries nothing.
+/// Turns off Nagle's algorithm and turns on TCP keep-alive.
 ///
-/// Failure: a cut, a peer that lost power or a path that forgot the connection
-/// swallows all packets without a word. Symptom: every call on it waits for its
-/// whole patience, one after the other, while a new connection would work. The
-/// system closes it after some probes, and calls are resolved over the next one.
+/// After a network partition, a power loss of the peer or the loss of a NAT entry, packets
+/// disappear without an error. Without probes, every call on the connection would wait
+/// until its timeout, one after the other, although a new connection would work. With
+/// them, the system closes the connection, and calls are resolved over the next one.
 pub(crate) fn configure(stream: &TcpStream) -> Result<()> {
     stream.set_nodelay(true)?;
     let keepalive = TcpKeepalive::new()
-        .with_time(PROBED_AFTER)
-        .with_interval(PROBED_AFTER)
-        .with_retries(PROBES);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
     SockRef::from(stream).set_tcp_keepalive(&keepalive)
 }
 
-/// The same for the end that sends calls, also while they lie unacknowledged,
-/// when no probes are sent. Not for the end that answers: a peer that reads a
-/// large answer slowly would lose it.
+/// Configures the end of a connection that sends calls: also limits the time that sent
+/// bytes may stay unacknowledged, during which no keep-alive probes are sent. Not for the
+/// answering end, because a peer that reads a large answer slowly would lose it.
 pub(crate) fn configure_sender(stream: &TcpStream) -> Result<()> {
     configure(stream)?;
-    SockRef::from(stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_FOR))
+    SockRef::from(stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
 }
--- a/crates/hemlocktack-node/src/stop.rs
+++ b/crates/hemlocktack-node/src/stop.rs
@@ -1,4 +1,4 @@
-//! The planned stop: nothing in flight is cut off.
+//! The planned stop, which lets the calls in flight finish.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,10 +10,11 @@
 use crate::handover;
 use crate::node::{DRAIN_SETTLE, Node};
 
-/// How often the drain looks whether calls are still in flight.
+/// How often the drain checks whether calls are still in flight.
 const DRAIN_POLL: Duration = Duration::from_millis(20);
 
-/// Takes over SIGTERM and SIGINT at once; what it returns ends at one of them.
+/// Installs handlers for SIGTERM and SIGINT at once; the returned future completes on
+/// either signal.
 pub(crate) fn stop_signal() -> impl Future<Output = ()> {
     let signals = (
         signal(SignalKind::terminate()),
@@ -30,16 +31,16 @@
     }
 }
 
-/// Takes nothing new, waits for what is in flight, up to the operator's limit,
-/// and hands its tickets over. What happens when is decided by
-/// `hemlocktack_fleet::drain`.
+/// Stops accepting calls, waits up to the configured limit for those in flight, and hands
+/// the node's tickets over to a successor. `hemlocktack_fleet::drain` decides when each
+/// step happens.
 pub(crate) async fn drain(node: &Arc<Node>) {
     let in_flight_count = node.counters.in_flight();
     log_event!(Event::DrainBegun, in_flight_count);
     node.begin_stop();
-    // Others still issue tickets for this home until they hear of the drain;
-    // until then it delegates them. A home that never stopped taking them
-    // would not come to an end under load.
+    // Other nodes issue tickets with this node as their home until they learn of the drain;
+    // meanwhile it delegates their calls. If it never stopped accepting tickets, the drain
+    // would not end under load.
     tokio::time::sleep(DRAIN_SETTLE.min(node.drain_time_left())).await;
     node.home.table().stop_accepting();
     loop {
@@ -58,7 +59,7 @@
 }
 
 async fn hand_over(node: &Arc<Node>) {
-    // With an interface of its own, callers hold no tickets.
+    // Callers of another interface hold no tickets.
     if node.interface.is_some() {
         log_event!(Event::DrainFinished);
         node.update_lifecycle(|life, _| life.handed_over());
