--- a/crates/hemlocktack-node/src/reload.rs
+++ b/crates/hemlocktack-node/src/reload.rs
@@ -41,7 +41,7 @@
                 loaded = reloaded;
             }
             Err(error) => {
-                let faults = error.in_one_line();
+                let faults = error.to_line();
                 log_event!(Event::SettingsFaulty, faults);
             }
         }
--- a/crates/hemlocktack-node/src/settings/file.rs
+++ b/crates/hemlocktack-node/src/settings/file.rs
@@ -1,4 +1,4 @@
-//! The settings file: lines `NAME=value` under the names of the environment.
+//! The settings file: lines `NAME=value`, with the names of the environment variables.
 
 use std::collections::HashMap;
 use std::fs::File;
@@ -7,29 +7,31 @@
 
 use super::flags::{FLAGS, environment_name};
 
-/// Result of reading a settings file; the error lists findings with their place.
+/// Result of reading a settings file; the error lists all findings with their line.
 pub(super) type Result<T> = std::result::Result<T, Vec<String>>;
 
-/// Values by the name of their environment variable.
+/// Values by environment variable name.
 pub(super) type Values = HashMap<String, String>;
 
-/// A settings file is a few hundred bytes; one that is much larger is another file.
+/// A settings file has a few hundred bytes; a much larger file is not one.
 const SIZE_LIMIT_BYTES: usize = 64 << 10;
 
-/// Bytes of the file at `path`, no more than tell that it is too large.
+/// Reads the file at `path`, but no more of it than shows that it is too large.
 pub(super) fn read_bytes(path: &Path) -> std::io::Result<Vec<u8>> {
     let mut contents = Vec::new();
-    let most = SIZE_LIMIT_BYTES as u64 + 1;
-    File::open(path)?.take(most).read_to_end(&mut contents)?;
+    let max_bytes = SIZE_LIMIT_BYTES as u64 + 1;
+    File::open(path)?
+        .take(max_bytes)
+        .read_to_end(&mut contents)?;
     Ok(contents)
 }
 
-/// Reads what the file at `path` holds.
+/// Parses the contents of the file at `path`.
 pub(super) fn read(path: &Path, contents: Vec<u8>) -> Result<Values> {
     let place = path.display();
     if contents.len() > SIZE_LIMIT_BYTES {
         return Err(vec![format!(
-            "{place}: over {SIZE_LIMIT_BYTES} bytes; is it a settings file?"
+            "{place}: larger than {SIZE_LIMIT_BYTES} bytes; is it a settings file?"
         )]);
     }
     let text = String::from_utf8(contents).map_err(|error| vec![format!("{place}: {error}")])?;
@@ -39,8 +41,8 @@
     })
 }
 
-/// Blank lines and lines that begin with `#` say nothing. A value stands as it
-/// is written, without quotes.
+/// Skips blank lines and lines that begin with `#`. Values are taken literally; quotes
+/// are not removed.
 fn parse(text: &str) -> Result<Values> {
     let mut values = Values::new();
     let mut findings = Vec::new();
@@ -57,12 +59,12 @@
         if !is_name(name) {
             findings.push(format!("{number}: no name before the '='"));
         } else if !FLAGS.iter().any(|flag| environment_name(flag.name) == name) {
-            findings.push(format!("{number}: '{name}' is no setting; see --help"));
+            findings.push(format!("{number}: '{name}' is not a setting; see --help"));
         } else if values
             .insert(name.to_owned(), value.trim().to_owned())
             .is_some()
         {
-            findings.push(format!("{number}: '{name}' stands twice"));
+            findings.push(format!("{number}: '{name}' is set twice"));
         }
     }
     if findings.is_empty() {
@@ -72,8 +74,9 @@
     }
 }
 
-/// Anything else may be a secret with a `=` in it, and is not repeated.
+/// Returns whether the text may be quoted as a name. Anything else may be a secret that
+/// contains `=`, and is not quoted in findings.
 fn is_name(text: &str) -> bool {
-    let is_of_names = |c: char| c.is_ascii_uppercase() || c.is_ascii_digit() || c == '_';
-    text.chars().all(is_of_names)
+    let is_allowed = |c: char| c.is_ascii_uppercase() || c.is_ascii_digit() || c == '_';
+    text.chars().all(is_allowed)
 }
--- a/crates/hemlocktack-node/src/settings/flags.rs
+++ b/crates/hemlocktack-node/src/settings/flags.rs
@@ -1,4 +1,4 @@
-//! The table of flags; each has an environment variable of the same name.
+//! The table of flags. Each flag has an environment variable of the same name.
 
 use getopts::Options;
 
@@ -9,7 +9,7 @@
     pub(crate) hint: &'static str,
     pub(crate) default: Option<&'static str>,
     pub(crate) required: bool,
-    /// A change of it in the settings file is taken over by a running node.
+    /// A running node applies a change of it in the settings file.
     pub(crate) is_adjustable: bool,
 }
 
@@ -102,141 +102,141 @@
     required(
         CALLER_ADDRESS,
         "IP:PORT",
-        "where callers and the own upstream's deeper calls come in",
+        "listen address for callers and for calls made by this node's upstream",
     ),
     required(
         CONTROL_ADDRESS,
         "IP:PORT",
-        "health, metrics, operators' calls, the upstream's announcements",
+        "listen address for health checks, metrics, operators and upstream announcements",
     ),
     required(
         LINK_ADDRESS,
         "IP:PORT",
-        "TCP address for other nodes; must be reachable by them",
+        "TCP address of this node for other nodes; they must be able to reach it",
     ),
     optional(
         LINK_LISTEN_ADDRESS,
         "IP:PORT",
-        "where to listen if other nodes reach it under another address",
+        "listen address, if other nodes use a different address to reach this node",
     ),
     required(
         GOSSIP_ADDRESS,
         "IP:PORT",
-        "UDP address for other nodes; must be reachable by them",
+        "UDP address of this node for other nodes; they must be able to reach it",
     ),
     optional(
         GOSSIP_LISTEN_ADDRESS,
         "IP:PORT",
-        "where to listen if other nodes reach it under another address",
+        "listen address, if other nodes use a different address to reach this node",
     ),
     required(PLATFORM_URL, "URL", "base URL of the platform's object API"),
     defaulted(
         SEED_PEERS,
         "IP:PORT,...",
-        "gossip addresses of nodes to ask first",
+        "gossip addresses of the nodes to contact first",
         "",
     )
     .adjustable(),
     required(
         FLEET_KEY,
         "TEXT",
-        "secret that all nodes share, 32 characters or more; better given in the environment",
+        "secret shared by all nodes, at least 32 characters; preferably set in the environment",
     ),
     optional(
         PREVIOUS_FLEET_KEY,
         "TEXT",
-        "secret still accepted while the fleet changes its key",
+        "previous fleet key, still accepted during a key rotation",
     ),
     required(
         OPERATOR_TOKEN,
         "TEXT",
-        "token that operators' calls carry, 16 characters or more; better given in the environment",
+        "token for operators' requests, at least 16 characters; preferably set in the environment",
     )
     .adjustable(),
     optional(
         PREVIOUS_OPERATOR_TOKEN,
         "TEXT",
-        "token still accepted while operators change theirs",
+        "previous operator token, still accepted during a token rotation",
     )
     .adjustable(),
     defaulted(
         DRAIN_LIMIT_MS,
         "MS",
-        "longest that a planned stop waits for calls in flight before a configuration says it",
+        "longest time a planned stop waits for calls in flight, until a configuration sets it",
         "30000",
     )
     .adjustable(),
-    defaulted(LOG_FORMAT, "text|json", "how log lines are written", "text"),
+    defaulted(LOG_FORMAT, "text|json", "format of log lines", "text"),
     optional(
         OTLP_ENDPOINT,
         "URL",
-        "where traces go over HTTP; none are exported without it",
+        "OTLP/HTTP endpoint for traces; without it none are exported",
     ),
     defaulted(
         INTERFACE,
         "own|cooperative",
-        "how callers, upstreams and the platform speak",
+        "wire formats of callers, upstreams and the platform",
         "own",
     ),
     optional(
         READINESS_ADDRESS,
         "IP:PORT",
-        "where it is asked whether the node is ready, with an interface that has an address for it",
+        "listen address for readiness probes, if the interface uses a separate one",
     ),
     optional(
         ANNOUNCE_ADDRESS,
         "IP:PORT",
-        "where the upstream announces itself, with an interface that has an address for it",
+        "listen address for upstream announcements, if the interface uses a separate one",
     ),
     optional(
         UPSTREAM_ADDRESS,
         "IP:PORT",
-        "where the upstream listens, with an interface that tells it beforehand",
+        "address of the upstream, if the interface makes it known in advance",
     ),
     optional(
         PLATFORM_READS,
         "NUMBER",
-        "reading calls a second that the platform takes from all nodes together",
+        "read requests per second that the platform accepts from all nodes together",
     )
     .adjustable(),
     optional(
         PLATFORM_WRITES,
         "NUMBER",
-        "writing calls a second that the platform takes from all nodes together",
+        "write requests per second that the platform accepts from all nodes together",
     )
     .adjustable(),
     optional(
         STOP_GRACE,
         "TIME",
-        "how long after the signal to stop the process may live, such as 6s or 1500ms",
+        "time between the stop signal and the forced end of the process, such as 6s or 1500ms",
     )
     .adjustable(),
     optional(
         RETRY_SHARE,
         "NUMBER",
-        "largest share of retries among a service's calls from all nodes in ten seconds, such as 0.2; goes before the configuration's",
+        "largest share of retries among a service's calls from all nodes in ten seconds, such as 0.2; overrides the configuration",
     )
     .adjustable(),
     optional(
         RETRIES_BESIDE_SHARE,
         "NUMBER",
-        "retries of a service's calls that all nodes together may make in ten seconds however few calls there are, such as 50",
+        "retries of a service's calls that all nodes together may always make in ten seconds, even with few calls, such as 50",
     )
     .adjustable(),
 ];
 
-/// Where further settings are read from; not one of them itself.
+/// Path of the settings file; not a setting itself.
 pub(crate) const SETTINGS_FILE: &str = "settings-file";
 pub(crate) const HELP: &str = "help";
 pub(crate) const VERSION: &str = "version";
 pub(crate) const CHECK: &str = "check";
 
-/// Environment variable of a flag: `data-centre` is `HEMLOCKTACK_DATA_CENTRE`.
+/// Returns the environment variable of a flag: `data-centre` is `HEMLOCKTACK_DATA_CENTRE`.
 pub(crate) fn environment_name(flag: &str) -> String {
     format!("HEMLOCKTACK_{}", flag.replace('-', "_").to_uppercase())
 }
 
-/// Flags as the command-line library wants them.
+/// Returns the flags in the form of the command-line library.
 pub(crate) fn options() -> Options {
     let mut options = Options::new();
     for flag in &FLAGS {
@@ -246,18 +246,18 @@
     options.optopt(
         "",
         SETTINGS_FILE,
-        "further settings, a line NAME=value each under the names of the environment; changes marked (adjustable) are taken over while the node runs",
+        "file with further settings, one NAME=value per line with the names of the environment variables; settings marked (adjustable) are reloaded while the node runs",
         "FILE",
     );
-    options.optflag("h", HELP, "print this help");
-    options.optflag("", VERSION, "print the version");
-    options.optflag("", CHECK, "check the settings and stop");
+    options.optflag("h", HELP, "print this help and exit");
+    options.optflag("", VERSION, "print the version and exit");
+    options.optflag("", CHECK, "check the settings and exit");
     options
 }
 
-/// Text of `--help`.
+/// Returns the text of `--help`.
 pub(crate) fn usage() -> String {
-    let brief = "Usage: hemlocktackd [options]\n\nOne node beside one upstream instance. Each option may also be given as an\nenvironment variable or a line of the settings file: --data-centre is\nHEMLOCKTACK_DATA_CENTRE. The flag goes first, then the environment, then the file.";
+    let brief = "Usage: hemlocktackd [options]\n\nRuns one node beside one upstream instance. Each option may also be set by an\nenvironment variable or a line of the settings file: --data-centre is\nHEMLOCKTACK_DATA_CENTRE. A flag overrides the environment, which overrides the file.";
     options().usage(brief)
 }
 
@@ -267,10 +267,10 @@
     } else {
         ""
     };
-    format!("{}{adjustable}", describe_use(flag))
+    format!("{}{adjustable}", describe_default(flag))
 }
 
-fn describe_use(flag: &Flag) -> String {
+fn describe_default(flag: &Flag) -> String {
     match (flag.required, flag.default) {
         (true, _) => format!("{} (required)", flag.help),
         (false, Some(default)) if !default.is_empty() => {
--- a/crates/hemlocktack-node/src/settings/for_tests.rs
+++ b/crates/hemlocktack-node/src/settings/for_tests.rs
@@ -1,13 +1,13 @@
-//! Settings of nodes that tests make without a run.
+//! Settings of nodes that tests create without running them.
 
 use super::{Invocation, LoadedSettings, read};
 
-/// Nothing listens there.
+/// An address on which nothing listens.
 const UNUSED_ADDRESS: &str = "127.0.0.1:9";
 
-/// All that every node needs, and these flags.
+/// Reads the required flags together with `flags`.
 pub(crate) fn with_flags(flags: &[(&str, &str)]) -> LoadedSettings {
-    let needed = [
+    let required = [
         ("--node", "howrah-1"),
         ("--service", "listings"),
         ("--data-centre", "howrah"),
@@ -19,11 +19,11 @@
         ("--fleet-key", "a-key-of-32-characters-for-tests-only"),
         ("--operator-token", "a-token-for-tests"),
     ];
-    let all = needed.iter().chain(flags);
+    let all = required.iter().chain(flags);
     let pairs = all.flat_map(|(name, value)| [*name, *value]);
     let arguments: Vec<String> = pairs.map(str::to_owned).collect();
     match read(&arguments, |_| None) {
-        Ok(Invocation::Run(order)) => order.loaded,
-        _ => panic!("the settings are not usable"),
+        Ok(Invocation::Run(settings)) => settings.loaded,
+        _ => panic!("invalid settings"),
     }
 }
--- a/crates/hemlocktack-node/src/settings/mod.rs
+++ b/crates/hemlocktack-node/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings from flags, environment variables and a file, all of the same names.
+//! Settings from flags, environment variables and a file, with the same names in all three.
 
 mod file;
 mod flags;
@@ -17,7 +17,7 @@
 use hemlocktack_platform::PlatformRates;
 use hemlocktack_protocol::{DataCentre, NodeId, ServiceName};
 
-/// How log lines are written.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::EnumString, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
 pub(crate) enum LogFormat {
@@ -25,17 +25,17 @@
     Json,
 }
 
-/// Whose way of speaking a node uses towards callers, upstreams and the platform.
+/// Set of wire formats that a node uses with callers, upstreams and the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, strum::EnumString, strum::Display)]
 #[strum(serialize_all = "kebab-case")]
 pub(crate) enum InterfaceName {
-    /// That of docs/INTERFACES.md.
+    /// The native interface of `docs/INTERFACES.md`.
     Own,
-    /// That of the co-operative's platform.
+    /// The interface of the co-operative's platform.
     Cooperative,
 }
 
-/// Settings that hold from the start of a node to its end.
+/// Settings that are fixed for the lifetime of a node.
 #[derive(Clone)]
 pub(crate) struct Settings {
     pub(crate) node_id: NodeId,
@@ -44,41 +44,42 @@
     pub(crate) region: String,
     pub(crate) caller_address: SocketAddr,
     pub(crate) control_address: SocketAddr,
-    /// As other nodes reach it.
+    /// The address that other nodes connect to.
     pub(crate) link_address: SocketAddr,
     pub(crate) link_listen_address: SocketAddr,
-    /// As other nodes reach it.
+    /// The address that other nodes send to.
     pub(crate) gossip_address: SocketAddr,
     pub(crate) gossip_listen_address: SocketAddr,
     pub(crate) platform_url: String,
     pub(crate) fleet_key: String,
-    /// Still accepted while the fleet changes its key.
+    /// Still accepted during a key rotation.
     pub(crate) previous_fleet_key: Option<String>,
     pub(crate) log_format: LogFormat,
     pub(crate) otlp_endpoint: Option<String>,
     pub(crate) interface: InterfaceName,
     pub(crate) readiness_address: Option<SocketAddr>,
     pub(crate) announce_address: Option<SocketAddr>,
-    /// Where the upstream listens, if that is known before it announces itself.
+    /// Address of the upstream, if it is known before the upstream announces itself.
     pub(crate) upstream_address: Option<SocketAddr>,
 }
 
-/// Settings that a running node takes over when their file changes.
+/// Settings that a running node reloads when their file changes.
 #[derive(Clone)]
 pub(crate) struct AdjustableSettings {
-    /// Gossip addresses of nodes to ask first.
+    /// Gossip addresses of the nodes to contact first.
     pub(crate) seed_peers: Vec<SocketAddr>,
     pub(crate) operator_token: String,
-    /// Still accepted while operators change their token.
+    /// Still accepted during a token rotation.
     pub(crate) previous_operator_token: Option<String>,
-    /// Longest that a planned stop waits for calls in flight.
+    /// Longest time that a planned stop waits for calls in flight.
     pub(crate) drain_limit: Duration,
-    /// What the platform takes from all nodes together.
+    /// Request rates that the platform accepts from all nodes together.
     pub(crate) platform_rates: Option<PlatformRates>,
-    /// Time between the signal to stop and the end of the process by force.
+    /// Time between the stop signal and the forced end of the process.
     pub(crate) stop_grace: Option<Duration>,
-    /// Largest share of retries among a service's calls from all nodes, per mille.
+    /// Largest share of retries among a service's calls from all nodes, in per mille.
     pub(crate) retry_share_per_mille: Option<u32>,
-    /// Retries of a service's calls from all nodes in ten seconds, however few calls.
+    /// Retries of a service's calls that all nodes together may make in ten seconds even if
+    /// there are few calls.
     pub(crate) retries_beside_share: Option<u32>,
 }
--- a/crates/hemlocktack-node/src/settings/read.rs
+++ b/crates/hemlocktack-node/src/settings/read.rs
@@ -1,4 +1,4 @@
-//! Reads the settings and reports every fault together.
+//! Parses and validates the settings, and reports all errors together.
 
 use std::net::SocketAddr;
 use std::str::FromStr;
@@ -18,44 +18,44 @@
 const FLEET_KEY_MIN_CHARS: usize = 32;
 const OPERATOR_TOKEN_MIN_CHARS: usize = 16;
 
-/// Settings that cannot be used, with all that is wrong.
+/// Invalid settings, with all findings.
 #[derive(Debug, Display, Error)]
 #[display("{}", findings.join("\n"))]
 pub(crate) struct Error {
-    /// One line each: the flag, what is wrong, what to do.
+    /// One line each: the flag, what is wrong, and what to do.
     pub(crate) findings: Vec<String>,
 }
 
 impl Error {
-    /// Findings repeat what was given: whoever puts a line break into it would begin
-    /// a line of the log.
+    /// Escapes control characters in the findings: they quote the input, and a line break
+    /// in it would start a new line of the log.
     pub(super) fn new(findings: Vec<String>) -> Self {
-        let findings = findings.iter().map(|finding| in_one_line(finding));
+        let findings = findings.iter().map(|finding| escape_control(finding));
         Self {
             findings: findings.collect(),
         }
     }
 
-    /// All of it as one line.
-    pub(crate) fn in_one_line(&self) -> String {
+    /// Returns all findings as one line.
+    pub(crate) fn to_line(&self) -> String {
         self.findings.join("; ")
     }
 }
 
-/// A value as findings repeat it, where it is one.
+/// Returns a value in quotes for a finding, unless it may contain a secret.
 ///
-/// Failure: a line break of the settings file is lost, and the next line is a part of
-/// the value. Symptom: the finding tells the fleet's key to the log. That line has a
-/// `=`, or else spaces, which no value has that is repeated.
-fn shown(text: &str) -> String {
-    let is_strange = |c: char| c == '=' || c.is_whitespace() || c.is_control();
-    if text.contains(is_strange) {
-        return "what is given".to_owned();
+/// If a line break of the settings file is lost, the next line becomes part of the value,
+/// and quoting it could write the fleet key to the log. Such a line contains `=` or spaces,
+/// which no valid value of the quoted kinds contains.
+fn quoted(text: &str) -> String {
+    let is_unexpected = |c: char| c == '=' || c.is_whitespace() || c.is_control();
+    if text.contains(is_unexpected) {
+        return "the value".to_owned();
     }
     format!("'{text}'")
 }
 
-fn in_one_line(finding: &str) -> String {
+fn escape_control(finding: &str) -> String {
     let mut line = String::with_capacity(finding.len());
     for character in finding.chars() {
         match character.is_control() {
@@ -66,24 +66,25 @@
     line
 }
 
-/// Everything that was read, and the texts that it was read from.
+/// Parsed settings, with the texts that they were parsed from.
 pub(crate) struct LoadedSettings {
     pub(crate) settings: Settings,
     pub(crate) adjustable: AdjustableSettings,
-    /// In the order of the flags.
+    /// In the order of `FLAGS`.
     texts: Vec<Option<String>>,
 }
 
-/// What differs between two readings, by the names of the flags.
+/// Names of the flags whose values differ between two loads.
 pub(crate) struct Changes {
-    /// Taken over at once.
+    /// Applied at once.
     pub(crate) adjusted: Vec<&'static str>,
-    /// Left for the next start.
+    /// Applied at the next start.
     pub(crate) deferred: Vec<&'static str>,
 }
 
 impl LoadedSettings {
-    /// Values are left out: some are secrets, and names end up in logs.
+    /// Returns the names of the changed settings, but not their values: the result is logged,
+    /// and some values are secrets.
     pub(crate) fn changes_since(&self, before: &LoadedSettings) -> Changes {
         let pairs = self.texts.iter().zip(&before.texts);
         let changed = FLAGS
@@ -101,9 +102,9 @@
     }
 }
 
-/// Reads the texts that `value` finds for the flags; `findings` are those of
-/// the places that they come from.
-pub(super) fn read_texts(
+/// Parses the texts that `value` returns for the flags; `findings` are those already
+/// found in their sources.
+pub(super) fn parse_texts(
     value: impl Fn(&str) -> Option<String>,
     findings: Vec<String>,
 ) -> Result<LoadedSettings> {
@@ -168,14 +169,14 @@
             .secret(flags::PREVIOUS_OPERATOR_TOKEN, OPERATOR_TOKEN_MIN_CHARS),
         drain_limit: Duration::from_millis(drain_limit_ms),
         platform_rates: reader.platform_rates(),
-        stop_grace: reader.time(flags::STOP_GRACE),
+        stop_grace: reader.duration(flags::STOP_GRACE),
         retry_share_per_mille: reader.share_per_mille(flags::RETRY_SHARE),
         retries_beside_share: reader.count(flags::RETRIES_BESIDE_SHARE),
     }
 }
 
 struct Reader {
-    /// In the order of the flags.
+    /// In the order of `FLAGS`.
     texts: Vec<Option<String>>,
     findings: Vec<String>,
 }
@@ -186,7 +187,7 @@
             if self.value(flag.name).is_none() {
                 let variable = environment_name(flag.name);
                 self.findings.push(format!(
-                    "--{}: missing; give --{} {} or {variable}",
+                    "--{}: missing; set --{} {} or {variable}",
                     flag.name, flag.name, flag.hint
                 ));
             }
@@ -198,7 +199,7 @@
         self.texts[index].clone()
     }
 
-    fn find(&mut self, name: &str, fault: &str) {
+    fn add_finding(&mut self, name: &str, fault: &str) {
         self.findings.push(format!("--{name}: {fault}"));
     }
 
@@ -209,7 +210,7 @@
         match text.parse() {
             Ok(value) => value,
             Err(_) => {
-                self.find(name, &format!("{} is not {expected}", shown(&text)));
+                self.add_finding(name, &format!("{} is not {expected}", quoted(&text)));
                 fallback
             }
         }
@@ -219,16 +220,16 @@
         let text = self.value(name).unwrap_or_default();
         let usable = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_' || c == '.';
         if !text.chars().all(usable) {
-            self.find(
+            self.add_finding(
                 name,
                 &format!(
                     "{} is not a name; use letters, digits, '-', '_' and '.'",
-                    shown(&text)
+                    quoted(&text)
                 ),
             );
         }
         if text.len() > NODE_ID_LIMIT_BYTES {
-            self.find(
+            self.add_finding(
                 name,
                 &format!("too long; {NODE_ID_LIMIT_BYTES} characters or fewer"),
             );
@@ -240,15 +241,15 @@
         let fallback = SocketAddr::from(([127, 0, 0, 1], 0));
         self.parsed(
             name,
-            "an IP number with a port, such as 10.0.0.7:7000",
+            "an IP address with a port, such as 10.0.0.7:7000",
             fallback,
         )
     }
 
-    fn address_or(&mut self, name: &str, otherwise: SocketAddr) -> SocketAddr {
+    fn address_or(&mut self, name: &str, default: SocketAddr) -> SocketAddr {
         match self.value(name) {
             Some(_) => self.address(name),
-            None => otherwise,
+            None => default,
         }
     }
 
@@ -257,16 +258,17 @@
         Some(self.address(name))
     }
 
-    /// Both or none: a budget that follows only one of them helps nobody.
+    /// Returns the platform's rates. They must be given together, because a limit on only
+    /// one kind of request does not protect the platform.
     fn platform_rates(&mut self) -> Option<PlatformRates> {
         let is_given =
             [flags::PLATFORM_READS, flags::PLATFORM_WRITES].map(|name| self.value(name).is_some());
         match is_given {
             [false, false] => return None,
             [true, true] => {}
-            _ => self.find(
+            _ => self.add_finding(
                 flags::PLATFORM_READS,
-                &format!("give --{} with it", flags::PLATFORM_WRITES),
+                &format!("set it together with --{}", flags::PLATFORM_WRITES),
             ),
         }
         Some(PlatformRates {
@@ -275,11 +277,12 @@
         })
     }
 
-    /// Calls a second; with none the node would wait for ever.
+    /// Returns a rate in requests per second. It must be positive: with 0 the node would
+    /// wait forever.
     fn rate(&mut self, name: &str) -> f64 {
         let rate: f64 = self.parsed(name, "a number", 1.0);
         if !(rate > 0.0 && rate.is_finite()) {
-            self.find(name, "a rate is above 0");
+            self.add_finding(name, "a rate must be greater than 0");
         }
         rate
     }
@@ -288,28 +291,32 @@
         self.value(name)?;
         let share: f64 = self.parsed(name, "a number between 0 and 1", 0.0);
         if !(0.0..=1.0).contains(&share) {
-            self.find(name, "a share is between 0 and 1");
+            self.add_finding(name, "a share must be between 0 and 1");
         }
         Some((share * 1_000.0) as u32)
     }
 
-    /// Others may write it as a fraction; what is behind the point is left out.
+    /// Returns a count. A decimal fraction is accepted, because some platforms write counts
+    /// that way; its fractional part is dropped.
     fn count(&mut self, name: &str) -> Option<u32> {
         self.value(name)?;
         let count: f64 = self.parsed(name, "a number such as 50", 0.0);
         if !(0.0..=f64::from(u32::MAX)).contains(&count) {
-            self.find(name, "a count is 0 or more");
+            self.add_finding(name, "a count must be 0 or more");
         }
         Some(count as u32)
     }
 
-    fn time(&mut self, name: &str) -> Option<Duration> {
+    fn duration(&mut self, name: &str) -> Option<Duration> {
         let text = self.value(name)?;
         let read = parse_duration(&text);
         if read.is_none() {
-            self.find(
+            self.add_finding(
                 name,
-                &format!("{} is not a time; write 6s or 1500ms", shown(&text)),
+                &format!(
+                    "{} is not a duration; write for example 6s or 1500ms",
+                    quoted(&text)
+                ),
             );
         }
         read
@@ -325,9 +332,9 @@
         {
             match part.parse() {
                 Ok(address) => addresses.push(address),
-                Err(_) => self.find(
+                Err(_) => self.add_finding(
                     name,
-                    &format!("{} is not an IP number with a port", shown(part)),
+                    &format!("{} is not an IP address with a port", quoted(part)),
                 ),
             }
         }
@@ -337,22 +344,22 @@
     fn url(&mut self, name: &str) -> Option<String> {
         let text = self.value(name)?;
         if !text.starts_with("http://") && !text.starts_with("https://") {
-            self.find(
+            self.add_finding(
                 name,
                 &format!(
                     "{} is not a URL; it begins with http:// or https://",
-                    shown(&text)
+                    quoted(&text)
                 ),
             );
         }
         Some(text.trim_end_matches('/').to_owned())
     }
 
-    /// Never repeats the value: findings end up in logs.
+    /// Returns a secret. Its findings never quote the value, because they are logged.
     fn secret(&mut self, name: &str, min_chars: usize) -> Option<String> {
         let text = self.value(name)?;
         if text.chars().count() < min_chars {
-            self.find(name, &format!("too short; {min_chars} characters or more"));
+            self.add_finding(name, &format!("too short; {min_chars} characters or more"));
         }
         Some(text)
     }
--- a/crates/hemlocktack-node/src/settings/sources.rs
+++ b/crates/hemlocktack-node/src/settings/sources.rs
@@ -1,4 +1,4 @@
-//! Where settings come from, so that they can be read again.
+//! The sources of the settings, kept so that they can be read again.
 
 use std::path::PathBuf;
 
@@ -8,7 +8,7 @@
 use super::flags::{self, environment_name};
 use super::read::{self, Error, LoadedSettings, Result};
 
-/// What the command line asks for.
+/// What the command line requests.
 pub(crate) enum Invocation {
     Help,
     Version,
@@ -16,7 +16,7 @@
     Run(Box<RunSettings>),
 }
 
-/// A node to be run.
+/// Settings of a node to run, with their sources.
 pub(crate) struct RunSettings {
     pub(crate) loaded: LoadedSettings,
     pub(crate) sources: Sources,
@@ -31,10 +31,11 @@
 
 type Environment = Box<dyn Fn(&str) -> Option<String> + Send + Sync>;
 
-/// What the settings file holds, or why it cannot be read; `None` without a file.
+/// Contents of the settings file, or why it cannot be read; `None` without a file.
 pub(crate) type FileContents = Option<std::result::Result<Vec<u8>, String>>;
 
-/// Reads flags first, then the environment, then the file, then defaults.
+/// Reads the settings: flags override the environment, which overrides the file, which
+/// overrides the defaults.
 pub(crate) fn read(
     arguments: &[String],
     environment: impl Fn(&str) -> Option<String> + Send + Sync + 'static,
@@ -68,24 +69,23 @@
         }
     }
 
-    /// Reads all of them, the file as it was when it held this.
+    /// Reads all sources, with `contents` as the contents of the file.
     pub(crate) fn read(&self, contents: FileContents) -> Result<LoadedSettings> {
         let mut findings = Vec::new();
         for argument in &self.matches.free {
             findings.push(format!("{argument}: not an option; see --help"));
         }
-        let values = self.values(contents).unwrap_or_else(|of_file| {
-            findings.extend(of_file);
+        let values = self.values(contents).unwrap_or_else(|file_findings| {
+            findings.extend(file_findings);
             Values::new()
         });
         let value = |name: &str| {
             let variable = environment_name(name);
-            let given = self.matches.opt_str(name);
-            given
-                .or_else(|| (self.environment)(&variable))
+            let flag = self.matches.opt_str(name);
+            flag.or_else(|| (self.environment)(&variable))
                 .or_else(|| values.get(&variable).cloned())
         };
-        read::read_texts(value, findings)
+        read::parse_texts(value, findings)
     }
 
     fn values(&self, contents: FileContents) -> file::Result<Values> {
@@ -96,7 +96,7 @@
         file::read(path, contents)
     }
 
-    /// What the settings file holds now.
+    /// Reads the current contents of the settings file.
     pub(crate) fn file_contents(&self) -> FileContents {
         let path = self.file.as_deref()?;
         let place = path.display();
--- a/crates/hemlocktack-node/tests/settings.rs
+++ b/crates/hemlocktack-node/tests/settings.rs
@@ -212,6 +212,6 @@
     file.write_all(b"COLOUR=red\nnonsense\n")
         .expect("it is written");
     let told = node.line_with("number=108");
-    let faults = [":2: 'COLOUR' is no setting", ":3: not of the form"];
+    let faults = [":2: 'COLOUR' is not a setting", ":3: not of the form"];
     assert!(faults.iter().all(|fault| told.contains(fault)), "{told}");
 }
