--- a/crates/hemlocktack-node/src/callers/answer.rs
+++ b/crates/hemlocktack-node/src/callers/answer.rs
@@ -10,7 +10,7 @@
 use rocket::Response;
 use rocket::http::Status;
 
-use super::leaving::LeavingBody;
+use super::leaving::TrackedBody;
 use crate::calls::retry_after;
 use crate::counters::InFlightGuard;
 
@@ -30,7 +30,7 @@
 impl CallerAnswer {
     /// A refusal of the entry itself: nothing was sent anywhere.
     pub(crate) fn refused(reason: Reason) -> Self {
-        Self::from_answer(crate::calls::not_run(reason, None))
+        Self::from_answer(crate::calls::not_run_answer(reason, None))
     }
 
     /// Translates what came back through the fleet.
@@ -90,7 +90,7 @@
             builder.raw_header(TRACEPARENT_HEADER, traceparent);
         }
         let length_bytes = self.body.len();
-        builder.sized_body(length_bytes, LeavingBody::new(self.body, in_flight));
+        builder.sized_body(length_bytes, TrackedBody::new(self.body, in_flight));
         builder.finalize()
     }
 }
--- a/crates/hemlocktack-node/src/callers/leaving.rs
+++ b/crates/hemlocktack-node/src/callers/leaving.rs
@@ -17,12 +17,12 @@
 /// cut the connection seconds later. The server reads a piece only when the
 /// one before it is on its way, so what it still holds at the end fits into
 /// the listener's own grace.
-pub(super) struct LeavingBody {
+pub(super) struct TrackedBody {
     body: Cursor<Bytes>,
     _in_flight: InFlightGuard,
 }
 
-impl LeavingBody {
+impl TrackedBody {
     pub(super) fn new(body: Bytes, in_flight: InFlightGuard) -> Self {
         Self {
             body: Cursor::new(body),
@@ -31,7 +31,7 @@
     }
 }
 
-impl AsyncRead for LeavingBody {
+impl AsyncRead for TrackedBody {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -41,7 +41,7 @@
     }
 }
 
-impl AsyncSeek for LeavingBody {
+impl AsyncSeek for TrackedBody {
     fn start_seek(mut self: Pin<&mut Self>, position: SeekFrom) -> Result<()> {
         Pin::new(&mut self.body).start_seek(position)
     }
--- a/crates/hemlocktack-node/src/callers/routes.rs
+++ b/crates/hemlocktack-node/src/callers/routes.rs
@@ -52,8 +52,8 @@
         let in_flight = self.node.track_call();
         let entry = ObservedEntry::begin(&self.node, request);
         let answer = match read(&self.node, request, data).await {
-            Ok(call) => calls::enter(&self.node, entry.pass_trace(call)).await,
-            Err(reason) => calls::refusal(reason, has_key(request)),
+            Ok(call) => calls::handle_request(&self.node, entry.pass_trace(call)).await,
+            Err(reason) => calls::refused_answer(reason, has_key(request)),
         };
         let answer = entry.end(&self.node, request, answer);
         Outcome::Success(answer.into_response(in_flight))
--- a/crates/hemlocktack-node/src/calls/admission_queue.rs
+++ b/crates/hemlocktack-node/src/calls/admission_queue.rs
@@ -105,7 +105,7 @@
     }
 
     /// How a request stands in the crash quarantine, as far as this node heard.
-    pub(crate) fn standing(&self, fingerprint: Fingerprint) -> QuarantineStatus {
+    pub(crate) fn quarantine_status(&self, fingerprint: Fingerprint) -> QuarantineStatus {
         let mut state = self.lock();
         state
             .admission
@@ -118,7 +118,7 @@
     }
 
     /// Wakes the queue when the admission asks for it.
-    pub(crate) async fn keep_awake(self: Arc<Self>) {
+    pub(crate) async fn run_timer(self: Arc<Self>) {
         loop {
             let wake = self.lock().admission.next_wake();
             let wake = wake.unwrap_or_else(|| Instant::now() + IDLE_WAKE);
--- a/crates/hemlocktack-node/src/calls/classify.rs
+++ b/crates/hemlocktack-node/src/calls/classify.rs
@@ -16,7 +16,7 @@
 const DEPTH_LIMIT: u32 = 16;
 
 /// A call with all that decides about it.
-pub(crate) struct Classified {
+pub(crate) struct ClassifiedCall {
     pub(crate) call: Call,
     pub(crate) idempotent: bool,
     pub(crate) class_rank: ClassRank,
@@ -29,7 +29,7 @@
     /// Upstreams that the call may be handed to, where its route says so; those
     /// whose nodes refuse it before do not count. Else the allowance alone bounds
     /// them.
-    pub(crate) upstreams_most: Option<usize>,
+    pub(crate) max_upstreams: Option<usize>,
     /// Of the configuration that all this was read from.
     pub(crate) generation: Generation,
     pub(crate) parent: Option<Arc<RunningCall>>,
@@ -43,7 +43,7 @@
     node: &Node,
     request: CallerRequest,
     now: Instant,
-) -> Result<Classified, Reason> {
+) -> Result<ClassifiedCall, Reason> {
     let Some(in_force) = node.active_configuration() else {
         return Err(Reason::Starting);
     };
@@ -60,7 +60,7 @@
     // What no rule declares idempotent is not repeated.
     let idempotent = rule.is_some_and(|rule| rule.idempotent);
     let kind = work_kind(service, rule);
-    node.services.note_kind(kind, &service.name);
+    node.services.register_work_kind(kind, &service.name);
     let patience = patience(&in_force.document, &request, parent.as_deref(), now)?;
     let allowance = match &parent {
         Some(parent) => parent.allowance.clone(),
@@ -98,7 +98,7 @@
     }
     let deadline = now + patience;
     let idempotency_key = request.idempotency_key;
-    Ok(Classified {
+    Ok(ClassifiedCall {
         call,
         idempotent,
         class_rank,
@@ -106,7 +106,7 @@
         deadline,
         objective: parent.as_ref().and_then(|parent| parent.objective),
         allowance,
-        upstreams_most: None,
+        max_upstreams: None,
         generation: in_force.generation,
         parent,
         idempotency_key,
--- a/crates/hemlocktack-node/src/calls/context.rs
+++ b/crates/hemlocktack-node/src/calls/context.rs
@@ -84,7 +84,7 @@
     }
 
     /// Notes that a deeper call begins, whatever becomes of it.
-    pub(crate) fn go_deeper(&self) {
+    pub(crate) fn child_call_began(&self) {
         self.went_deeper.store(true, Ordering::Release);
     }
 
@@ -94,7 +94,7 @@
     }
 
     /// Counts one deeper call that has ended.
-    pub(crate) fn count_deeper(&self, kind: WorkKind, duration: Duration, answer: &Answer) {
+    pub(crate) fn child_call_ended(&self, kind: WorkKind, duration: Duration, answer: &Answer) {
         if lacked_room(answer) {
             self.lacked_room.store(true, Ordering::Release);
         }
--- a/crates/hemlocktack-node/src/calls/deliver.rs
+++ b/crates/hemlocktack-node/src/calls/deliver.rs
@@ -8,10 +8,10 @@
 use hemlocktack_telemetry::SpanName;
 use tokio_util::sync::CancellationToken;
 
-use super::ends::{not_run, unknown};
+use super::ends::{not_run_answer, unknown_answer};
 use super::receive;
 use super::service_directory::PeerEntry;
-use crate::links::{Peer, Sent};
+use crate::links::{Peer, SendOutcome};
 use crate::node::{Node, NodeLocation};
 use crate::telemetry::CallSpan;
 
@@ -66,7 +66,7 @@
     });
     running
         .await
-        .unwrap_or_else(|_| unknown(Reason::UpstreamFailed))
+        .unwrap_or_else(|_| unknown_answer(Reason::UpstreamFailed))
 }
 
 async fn send_over_link(node: &Node, peer: &Peer, mut call: Call, deadline: Instant) -> Delivery {
@@ -74,13 +74,13 @@
     let given = call.retries_given;
     let span = CallSpan::begin(node, SpanName::Link, &mut call);
     let delivery = match node.links.call(peer, call, deadline).await {
-        Sent::Answer(answer) => Delivery {
+        SendOutcome::Answer(answer) => Delivery {
             answer,
             is_receivers_word: true,
         },
-        Sent::NeverArrived(reason) => never_arrived(purpose, given, reason),
-        Sent::Unknown(reason) => Delivery {
-            answer: unknown(reason),
+        SendOutcome::NeverArrived(reason) => never_arrived(purpose, given, reason),
+        SendOutcome::Unknown(reason) => Delivery {
+            answer: unknown_answer(reason),
             is_receivers_word: false,
         },
     };
@@ -95,9 +95,9 @@
 /// can say `not_run` of a ticket.
 fn never_arrived(purpose: CallPurpose, given: u32, reason: Reason) -> Delivery {
     let end = if purpose == CallPurpose::Home {
-        unknown(reason)
+        unknown_answer(reason)
     } else {
-        not_run(reason, None)
+        not_run_answer(reason, None)
     };
     Delivery {
         answer: Answer {
--- a/crates/hemlocktack-node/src/calls/ends.rs
+++ b/crates/hemlocktack-node/src/calls/ends.rs
@@ -9,7 +9,7 @@
 pub(crate) const NOTHING_SHED: f64 = 0.0;
 
 /// Nothing ran and nothing will.
-pub(crate) fn not_run(reason: Reason, retry_after: Option<Duration>) -> Answer {
+pub(crate) fn not_run_answer(reason: Reason, retry_after: Option<Duration>) -> Answer {
     let retry_after_ms = retry_after.map_or(0, |wait| {
         u32::try_from(wait.as_millis()).unwrap_or(u32::MAX)
     });
@@ -22,7 +22,7 @@
 }
 
 /// An upstream may have started it.
-pub(crate) fn unknown(reason: Reason) -> Answer {
+pub(crate) fn unknown_answer(reason: Reason) -> Answer {
     Answer {
         outcome: Outcome::Unknown.into(),
         reason: reason.into(),
--- a/crates/hemlocktack-node/src/calls/enter.rs
+++ b/crates/hemlocktack-node/src/calls/enter.rs
@@ -5,28 +5,28 @@
 
 use hemlocktack_protocol::{Answer, NodeState, Reason};
 
-use super::{Classified, classify, place, ticketed, unknown};
+use super::{ClassifiedCall, classify, place, ticketed, unknown_answer};
 use crate::callers::{CallerAnswer, CallerRequest};
 use crate::node::Node;
 
 /// Takes a request and answers it as soon as its end is known. It is counted
 /// as in flight by whoever reads it and sends its answer.
-pub(crate) async fn enter(node: &Arc<Node>, request: CallerRequest) -> CallerAnswer {
+pub(crate) async fn handle_request(node: &Arc<Node>, request: CallerRequest) -> CallerAnswer {
     let started = Instant::now();
     let has_key = request.idempotency_key.is_some();
     let mut classified = match classify(node, request, started) {
         Ok(classified) => classified,
-        Err(reason) => return refusal(reason, has_key),
+        Err(reason) => return refused_answer(reason, has_key),
     };
     if let Some(reason) = refuses_new_roots(node, &classified) {
-        return refusal(reason, has_key && !classified.idempotent);
+        return refused_answer(reason, has_key && !classified.idempotent);
     }
     if let Some(parent) = &classified.parent {
-        parent.go_deeper();
+        parent.child_call_began();
     }
     let answer = run(node, &mut classified).await;
     if let Some(parent) = &classified.parent {
-        parent.count_deeper(classified.kind, started.elapsed(), &answer);
+        parent.child_call_ended(classified.kind, started.elapsed(), &answer);
     }
     CallerAnswer::from_answer(answer)
 }
@@ -38,7 +38,7 @@
 /// once more with a fresh ticket. A request with a key may have been sent
 /// before, so a refusal that depends on the node, on its configuration or on
 /// what the caller sent this time says nothing of it.
-pub(crate) fn refusal(reason: Reason, may_have_been_sent: bool) -> CallerAnswer {
+pub(crate) fn refused_answer(reason: Reason, may_have_been_sent: bool) -> CallerAnswer {
     let is_of_this_send = matches!(
         reason,
         Reason::UnknownService
@@ -50,14 +50,14 @@
             | Reason::Draining
     );
     if may_have_been_sent && is_of_this_send {
-        return CallerAnswer::from_answer(unknown(reason));
+        return CallerAnswer::from_answer(unknown_answer(reason));
     }
     CallerAnswer::refused(reason)
 }
 
 /// Deeper calls of requests in flight are taken to the end, also while the
 /// node drains: refusing them would cut those requests off.
-fn refuses_new_roots(node: &Node, classified: &Classified) -> Option<Reason> {
+fn refuses_new_roots(node: &Node, classified: &ClassifiedCall) -> Option<Reason> {
     if classified.parent.is_some() {
         return None;
     }
@@ -68,9 +68,9 @@
     }
 }
 
-async fn run(node: &Arc<Node>, classified: &mut Classified) -> Answer {
+async fn run(node: &Arc<Node>, classified: &mut ClassifiedCall) -> Answer {
     if classified.idempotent {
-        return place::run_placed(node, classified).await;
+        return place::run_with_retries(node, classified).await;
     }
     ticketed::run_ticketed(node, classified).await
 }
--- a/crates/hemlocktack-node/src/calls/home.rs
+++ b/crates/hemlocktack-node/src/calls/home.rs
@@ -16,7 +16,7 @@
 use super::receive::refuses_all;
 use super::run::{RunOrder, run};
 use super::service_directory::{PeerEntry, ServiceView};
-use super::{not_run, unknown};
+use super::{not_run_answer, unknown_answer};
 use crate::node::Node;
 
 /// Nodes that a busy home hands a request to before it refuses it. One more
@@ -32,7 +32,7 @@
         Err(error) => {
             return Answer {
                 retries_unspent: call.retries_given,
-                ..unknown(error.reason())
+                ..unknown_answer(error.reason())
             };
         }
     };
@@ -47,7 +47,7 @@
         }
         StartDecision::Join => wait_for_end(end, deadline).await,
         StartDecision::Answered(answer) => Arc::unwrap_or_clone(answer),
-        StartDecision::AnswerNotKept => unknown(Reason::AnswerNotKept),
+        StartDecision::AnswerNotKept => unknown_answer(Reason::AnswerNotKept),
         StartDecision::Refused(refused) => from_unfinished(refused),
     };
     // Only the send that began the run can have spent retries.
@@ -59,23 +59,23 @@
 
 async fn wait_for_end(end: Option<EndReceiver>, deadline: Instant) -> Answer {
     let Some(mut end) = end else {
-        return unknown(Reason::AnswerNotKept);
+        return unknown_answer(Reason::AnswerNotKept);
     };
     let ended = tokio::time::timeout_at(deadline.into(), end.wait_for(Option::is_some)).await;
     match ended {
         Ok(Ok(answer)) => answer
             .as_deref()
             .cloned()
-            .unwrap_or_else(|| unknown(Reason::AnswerNotKept)),
-        Ok(Err(_)) => unknown(Reason::AnswerNotKept),
-        Err(_) => unknown(Reason::Timeout),
+            .unwrap_or_else(|| unknown_answer(Reason::AnswerNotKept)),
+        Ok(Err(_)) => unknown_answer(Reason::AnswerNotKept),
+        Err(_) => unknown_answer(Reason::Timeout),
     }
 }
 
 fn from_unfinished(unfinished: CallFailure) -> Answer {
     match unfinished {
-        CallFailure::NotRun(refusal) => not_run(refusal.reason, refusal.retry_after),
-        CallFailure::Unknown(reason) => unknown(reason),
+        CallFailure::NotRun(refusal) => not_run_answer(refusal.reason, refusal.retry_after),
+        CallFailure::Unknown(reason) => unknown_answer(reason),
     }
 }
 
@@ -127,7 +127,7 @@
 
 async fn run_here(node: &Arc<Node>, call: &Call, nonce: Nonce, deadline: Instant) -> Answer {
     if let Some(reason) = refuses_all(node, call) {
-        return not_run(reason, None);
+        return not_run_answer(reason, None);
     }
     let started = || node.home.table().mark_started(nonce).is_ok();
     let answer = run(
@@ -162,7 +162,7 @@
         .delegate(nonce, peer.identity.clone())
         .is_err()
     {
-        return unknown(Reason::Fenced);
+        return unknown_answer(Reason::Fenced);
     }
     let mut call = call.clone();
     call.purpose = CallPurpose::Delegated.into();
@@ -173,7 +173,7 @@
     if answer.outcome() == Outcome::NotRun {
         let given_back = node.home.table().requeue_from(nonce, &peer.identity);
         if given_back.is_err() {
-            return unknown(Reason::Fenced);
+            return unknown_answer(Reason::Fenced);
         }
     }
     Answer {
--- a/crates/hemlocktack-node/src/calls/home_table.rs
+++ b/crates/hemlocktack-node/src/calls/home_table.rs
@@ -10,7 +10,7 @@
 use hemlocktack_protocol::{Answer, Fingerprint, Outcome};
 use tokio::sync::watch;
 
-use super::ends::{not_run, unknown};
+use super::ends::{not_run_answer, unknown_answer};
 
 /// Kept answers dropped at once when the operators lower their memory.
 const SHRINK_STEP_BYTES: usize = 64 << 10;
@@ -18,12 +18,12 @@
 pub(super) type EndReceiver = watch::Receiver<Option<Arc<Answer>>>;
 
 /// Tickets that this node start is home of, and who waits for their ends.
-pub(crate) struct Home {
+pub(crate) struct TicketHome {
     table: Mutex<TicketTable>,
     ends: Mutex<HashMap<Nonce, watch::Sender<Option<Arc<Answer>>>>>,
 }
 
-impl Home {
+impl TicketHome {
     pub(crate) fn new(identity: &NodeIncarnation) -> Self {
         let table = TicketTable::new(
             identity.node_id.clone(),
@@ -97,8 +97,8 @@
         // says so too, and both must say the same.
         if recorded.is_err() {
             answer = Arc::new(match self.table().outcome_of(nonce) {
-                Some(TicketOutcome::NotRun(reason)) => not_run(reason, None),
-                _ => unknown(answer.reason()),
+                Some(TicketOutcome::NotRun(reason)) => not_run_answer(reason, None),
+                _ => unknown_answer(answer.reason()),
             });
         }
         if let Some(waiting) = ends.remove(&nonce) {
--- a/crates/hemlocktack-node/src/calls/mod.rs
+++ b/crates/hemlocktack-node/src/calls/mod.rs
@@ -1,6 +1,6 @@
 //! The way of a call: from a caller to a node beside an upstream and back.
 //!
-//! Caller side: [`enter`] classifies a call, places it and stays with it until
+//! Caller side: [`handle_request`] classifies a call, places it and stays with it until
 //! its end is known. Upstream side: [`receive`] admits a call, runs it and
 //! answers with what became of it.
 
@@ -25,13 +25,13 @@
 mod tries;
 
 pub(crate) use admission_queue::AdmissionQueue;
-pub(crate) use classify::{Classified, classify, fingerprint, work_kind_of};
+pub(crate) use classify::{ClassifiedCall, classify, fingerprint, work_kind_of};
 pub(crate) use context::{ContextTable, RunningCall, objective_of};
-pub(crate) use ends::{not_run, retry_after, unknown};
-pub(crate) use enter::{enter, refusal};
-pub(crate) use home_table::Home;
+pub(crate) use ends::{not_run_answer, retry_after, unknown_answer};
+pub(crate) use enter::{handle_request, refused_answer};
+pub(crate) use home_table::TicketHome;
 pub(crate) use panics::catch_panic;
-pub(crate) use place::run_placed;
+pub(crate) use place::run_with_retries;
 pub(crate) use receive::receive;
-pub(crate) use send_record::{SendRecord, WaitingSend};
+pub(crate) use send_record::{PendingSend, SendRecord};
 pub(crate) use service_directory::ServiceDirectory;
--- a/crates/hemlocktack-node/src/calls/panics.rs
+++ b/crates/hemlocktack-node/src/calls/panics.rs
@@ -6,7 +6,7 @@
 use hemlocktack_protocol::{Answer, Reason};
 use hemlocktack_telemetry::{Event, log_event};
 
-use super::unknown;
+use super::unknown_answer;
 
 /// What the work comes to; where it panics, that its end is unknown.
 ///
@@ -17,6 +17,6 @@
     let worked = AssertUnwindSafe(work).catch_unwind().await;
     worked.unwrap_or_else(|_| {
         log_event!(Event::RequestPanicked, request_id);
-        unknown(Reason::Unspecified)
+        unknown_answer(Reason::Unspecified)
     })
 }
--- a/crates/hemlocktack-node/src/calls/place.rs
+++ b/crates/hemlocktack-node/src/calls/place.rs
@@ -10,9 +10,9 @@
 use hemlocktack_protocol::{Answer, Call, CallFailure, CallPurpose, Reason, Refusal};
 use hemlocktack_telemetry::{Event, log_event};
 
-use super::Classified;
+use super::ClassifiedCall;
 use super::deliver::{micros_left, send_with_allowance};
-use super::ends::{NOTHING_SHED, not_run, unfinished, unknown, wait_before_return};
+use super::ends::{NOTHING_SHED, not_run_answer, unfinished, unknown_answer, wait_before_return};
 use super::open_send::OpenSend;
 use super::service_directory::{PeerEntry, ServiceView};
 use super::tries::Tries;
@@ -21,10 +21,10 @@
 /// Places a call without a ticket and stays with it until its end. One that is
 /// not idempotent goes to another node only after the one before has proved
 /// that it has not run there.
-pub(crate) async fn run_placed(node: &Arc<Node>, classified: &Classified) -> Answer {
+pub(crate) async fn run_with_retries(node: &Arc<Node>, classified: &ClassifiedCall) -> Answer {
     let view = match admitted_view(node, classified) {
         Ok(view) => view,
-        Err(refusal) => return not_run(refusal.reason, refusal.retry_after),
+        Err(refusal) => return not_run_answer(refusal.reason, refusal.retry_after),
     };
     count_try(&view, &classified.call);
     let purpose = match classified.idempotent {
@@ -71,7 +71,7 @@
 
 fn log_unfinished(
     node: &Node,
-    classified: &Classified,
+    classified: &ClassifiedCall,
     peer: &PeerEntry,
     unfinished: &CallFailure,
     next: NextStep,
@@ -97,7 +97,7 @@
         because,
         is_deeper = classified.call.work_spent_us > 0,
         upstreams_reached = sends.upstreams_reached(),
-        upstreams_most = classified.upstreams_most,
+        upstreams_most = classified.max_upstreams,
         generation = classified.generation,
         time_left_ms = time_left.as_millis() as u64,
         retries_left = classified.allowance.left_for_own_sends(),
@@ -109,10 +109,10 @@
 /// shed level lets it through: what would be refused there costs nothing here.
 pub(crate) fn admitted_view(
     node: &Node,
-    classified: &Classified,
+    classified: &ClassifiedCall,
 ) -> Result<Arc<ServiceView>, Refusal> {
     let call = &classified.call;
-    if node.admission_queue.standing(call.fingerprint) == QuarantineStatus::Quarantined {
+    if node.admission_queue.quarantine_status(call.fingerprint) == QuarantineStatus::Quarantined {
         return Err(Refusal {
             reason: Reason::Quarantined,
             retry_after: None,
@@ -173,7 +173,7 @@
     node: &Arc<Node>,
     view: &ServiceView,
     index: usize,
-    classified: &Classified,
+    classified: &ClassifiedCall,
     purpose: CallPurpose,
     is_repeat: bool,
 ) -> Answer {
@@ -184,7 +184,7 @@
     call.objective_left_us = classified.objective.map_or(0, micros_left);
     let open_send = OpenSend::begin(peer);
     classified.sends.begin(peer);
-    let Classified {
+    let ClassifiedCall {
         deadline,
         allowance,
         ..
@@ -193,7 +193,7 @@
     let answer = tokio::select! {
         delivery = sending => delivery.answer,
         () = silence(peer.as_ref()), if purpose == CallPurpose::Placed => {
-            unknown(Reason::LinkLost)
+            unknown_answer(Reason::LinkLost)
         }
     };
     if let Some(hint) = &answer.hint {
@@ -229,7 +229,7 @@
 fn take_retry(
     node: &Node,
     unfinished: &CallFailure,
-    classified: &Classified,
+    classified: &ClassifiedCall,
     view: &ServiceView,
     expected: Duration,
 ) -> RetryDecision {
--- a/crates/hemlocktack-node/src/calls/receive.rs
+++ b/crates/hemlocktack-node/src/calls/receive.rs
@@ -9,7 +9,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::run::{RunOrder, run};
-use super::{catch_panic, home, not_run, unknown};
+use super::{catch_panic, home, not_run_answer, unknown_answer};
 use crate::node::Node;
 use crate::telemetry::{CallSpan, request_line};
 
@@ -60,7 +60,7 @@
     };
     tokio::select! {
         answer = run(node, order) => answer,
-        () = cancelled.cancelled() => unknown(Reason::Cancelled),
+        () = cancelled.cancelled() => unknown_answer(Reason::Cancelled),
     }
 }
 
@@ -92,7 +92,7 @@
         biased;
         answer = &mut running => return answer,
         () = begun.cancelled() => {}
-        () = cancelled.cancelled() => return not_run(Reason::Cancelled, None),
+        () = cancelled.cancelled() => return not_run_answer(Reason::Cancelled, None),
     }
     running.await
 }
@@ -123,7 +123,7 @@
     node.counters.record_refusal(reason);
     Answer {
         retries_unspent: call.retries_given,
-        ..not_run(reason, None)
+        ..not_run_answer(reason, None)
     }
 }
 
--- a/crates/hemlocktack-node/src/calls/run.rs
+++ b/crates/hemlocktack-node/src/calls/run.rs
@@ -10,10 +10,10 @@
 use tokio::net::TcpStream;
 
 use super::admission_queue::Admitted;
-use super::{RunningCall, not_run, objective_of, unknown, work_kind_of};
+use super::{RunningCall, not_run_answer, objective_of, unknown_answer, work_kind_of};
 use crate::node::Node;
 use crate::telemetry::{CallSpan, request_line};
-use crate::upstream::{UpstreamEnd, UpstreamSend};
+use crate::upstream::{UpstreamOutcome, UpstreamRequest};
 
 /// A running upstream accepts a connection in a millisecond; one that does not
 /// within this time has crashed or is as good as crashed.
@@ -64,7 +64,7 @@
             node.counters.record_refusal(refusal.reason);
             let answer = Answer {
                 retries_unspent: call.retries_given,
-                ..not_run(refusal.reason, refusal.retry_after)
+                ..not_run_answer(refusal.reason, refusal.retry_after)
             };
             let answer = with_load(node, kind, answer);
             log_refused(node, &call, &answer, deadline);
@@ -75,7 +75,7 @@
         drop(admitted);
         return Answer {
             retries_unspent: call.retries_given,
-            ..not_run(Reason::Fenced, None)
+            ..not_run_answer(Reason::Fenced, None)
         };
     }
     node.counters.record_admitted();
@@ -125,7 +125,7 @@
     let Some(announcement) = node.announcement() else {
         let answer = Answer {
             retries_unspent: call.retries_given,
-            ..not_run(Reason::NoUpstream, None)
+            ..not_run_answer(Reason::NoUpstream, None)
         };
         return (answer, Duration::ZERO);
     };
@@ -133,7 +133,7 @@
     let context = node.contexts.open(running, &call.request_id);
     let end = node
         .upstream_client
-        .send(UpstreamSend {
+        .send(UpstreamRequest {
             announcement: &announcement,
             call,
             context: &context.header(),
@@ -141,7 +141,7 @@
             answer_limit_bytes: node.answer_limit_bytes(),
         })
         .await;
-    if matches!(end, UpstreamEnd::Unknown(Reason::UpstreamFailed))
+    if matches!(end, UpstreamOutcome::Unknown(Reason::UpstreamFailed))
         && !is_alive(announcement.address).await
     {
         note_crash(node);
@@ -150,7 +150,7 @@
     let end = believed(end, running);
     let ended = ended(&end, running);
     admitted.finish(ended, running.time_below());
-    if matches!(end, UpstreamEnd::Answered { .. }) {
+    if matches!(end, UpstreamOutcome::Answered { .. }) {
         node.record_chain_edges(kind, &running.deeper_kinds());
     }
     let answer = Answer {
@@ -189,10 +189,10 @@
 /// and the upstream passed that refusal up as its own. Told `not_run`, with a
 /// fresh ticket, the caller would make the deeper booking twice. One that made
 /// a deeper call has begun, and only that shows here, so `unknown` is enough.
-fn believed(end: UpstreamEnd, running: &RunningCall) -> UpstreamEnd {
+fn believed(end: UpstreamOutcome, running: &RunningCall) -> UpstreamOutcome {
     match end {
-        UpstreamEnd::NotRun(Reason::UpstreamShed) if running.went_deeper() => {
-            UpstreamEnd::Unknown(Reason::UpstreamFailed)
+        UpstreamOutcome::NotRun(Reason::UpstreamShed) if running.went_deeper() => {
+            UpstreamOutcome::Unknown(Reason::UpstreamFailed)
         }
         end => end,
     }
@@ -223,25 +223,25 @@
     matches!(connected, Ok(Ok(_)))
 }
 
-fn ended(end: &UpstreamEnd, running: &RunningCall) -> RunResult {
+fn ended(end: &UpstreamOutcome, running: &RunningCall) -> RunResult {
     match end {
-        UpstreamEnd::Answered { status, .. }
+        UpstreamOutcome::Answered { status, .. }
             if *status >= SERVER_FAILURES_FROM && running.lacked_room() =>
         {
             RunResult::ChildLackedCapacity
         }
-        UpstreamEnd::Answered { status, .. } if *status >= SERVER_FAILURES_FROM => {
+        UpstreamOutcome::Answered { status, .. } if *status >= SERVER_FAILURES_FROM => {
             RunResult::AnsweredWithFailure
         }
-        UpstreamEnd::Answered { .. } => RunResult::Answered,
-        UpstreamEnd::NotRun(Reason::UpstreamShed) => RunResult::ShedByUpstream,
-        UpstreamEnd::NotRun(_) | UpstreamEnd::Unknown(_) => RunResult::Failed,
+        UpstreamOutcome::Answered { .. } => RunResult::Answered,
+        UpstreamOutcome::NotRun(Reason::UpstreamShed) => RunResult::ShedByUpstream,
+        UpstreamOutcome::NotRun(_) | UpstreamOutcome::Unknown(_) => RunResult::Failed,
     }
 }
 
-fn into_answer(end: UpstreamEnd) -> Answer {
+fn into_answer(end: UpstreamOutcome) -> Answer {
     match end {
-        UpstreamEnd::Answered {
+        UpstreamOutcome::Answered {
             status,
             headers,
             body,
@@ -255,7 +255,7 @@
                 ..Answer::default()
             }
         }
-        UpstreamEnd::NotRun(reason) => not_run(reason, None),
-        UpstreamEnd::Unknown(reason) => unknown(reason),
+        UpstreamOutcome::NotRun(reason) => not_run_answer(reason, None),
+        UpstreamOutcome::Unknown(reason) => unknown_answer(reason),
     }
 }
--- a/crates/hemlocktack-node/src/calls/send_record.rs
+++ b/crates/hemlocktack-node/src/calls/send_record.rs
@@ -6,7 +6,7 @@
 use hemlocktack_fleet::NodeIncarnation;
 use hemlocktack_protocol::{Answer, Outcome, Reason};
 
-use super::ends::{not_run, unknown};
+use super::ends::{not_run_answer, unknown_answer};
 use super::service_directory::PeerEntry;
 
 /// The sends of one call so far.
@@ -19,19 +19,19 @@
 struct SendState {
     /// A send that has ended may have reached an upstream.
     may_have_run: bool,
-    waiting: Option<WaitingSend>,
+    waiting: Option<PendingSend>,
 }
 
 /// A send that has no end yet.
 #[derive(Clone)]
-pub(crate) struct WaitingSend {
+pub(crate) struct PendingSend {
     pub(crate) receiver: NodeIncarnation,
     since: Instant,
 }
 
 impl SendRecord {
     pub(super) fn begin(&self, peer: &PeerEntry) {
-        self.state().waiting = Some(WaitingSend {
+        self.state().waiting = Some(PendingSend {
             receiver: peer.identity.clone(),
             since: Instant::now(),
         });
@@ -44,16 +44,16 @@
     }
 
     /// The send that the call waits for.
-    pub(crate) fn waiting(&self) -> Option<WaitingSend> {
+    pub(crate) fn pending(&self) -> Option<PendingSend> {
         self.state().waiting.clone()
     }
 
     /// What is true of a call that nobody stays with any longer.
-    pub(crate) fn early_end(&self, reason: Reason) -> Answer {
+    pub(crate) fn early_answer(&self, reason: Reason) -> Answer {
         let state = self.state();
         match state.may_have_run || state.waiting.is_some() {
-            true => unknown(reason),
-            false => not_run(reason, None),
+            true => unknown_answer(reason),
+            false => not_run_answer(reason, None),
         }
     }
 
@@ -62,7 +62,7 @@
     }
 }
 
-impl WaitingSend {
+impl PendingSend {
     pub(crate) fn elapsed(&self) -> Duration {
         self.since.elapsed()
     }
--- a/crates/hemlocktack-node/src/calls/service_directory.rs
+++ b/crates/hemlocktack-node/src/calls/service_directory.rs
@@ -147,7 +147,7 @@
 
     /// How long the caller of a request on this route has waited before it came,
     /// by how long it says that it still waits.
-    pub(crate) fn waited(&self, route_id: u64, time_left: Duration) -> Duration {
+    pub(crate) fn estimate_time_waited(&self, route_id: u64, time_left: Duration) -> Duration {
         let mut patiences = self
             .patiences
             .lock()
@@ -162,7 +162,7 @@
     }
 
     /// Remembers which service a kind of work belongs to.
-    pub(crate) fn note_kind(&self, kind: WorkKind, service: &str) {
+    pub(crate) fn register_work_kind(&self, kind: WorkKind, service: &str) {
         let mut kinds = self
             .service_of_kind
             .lock()
@@ -171,7 +171,7 @@
     }
 
     /// Shed level that calls of a kind meet below this node.
-    pub(crate) fn level_of_kind(&self, kind: WorkKind) -> ShedLevel {
+    pub(crate) fn shed_level_of_kind(&self, kind: WorkKind) -> ShedLevel {
         let service = self
             .service_of_kind
             .lock()
--- a/crates/hemlocktack-node/src/calls/ticketed.rs
+++ b/crates/hemlocktack-node/src/calls/ticketed.rs
@@ -11,7 +11,7 @@
 use super::ends::{NOTHING_SHED, wait_before_return};
 use super::place::{admitted_view, choose};
 use super::service_directory::{PeerEntry, ServiceView};
-use super::{Classified, not_run, unknown};
+use super::{ClassifiedCall, not_run_answer, unknown_answer};
 use crate::node::Node;
 
 /// Pause before the home is asked again after a lost link; the ticket makes
@@ -22,7 +22,7 @@
 const HOME_WAIT: Duration = Duration::from_secs(4);
 
 /// Sends the call to its ticket's home, or answers with a fresh ticket.
-pub(crate) async fn run_ticketed(node: &Arc<Node>, classified: &mut Classified) -> Answer {
+pub(crate) async fn run_ticketed(node: &Arc<Node>, classified: &mut ClassifiedCall) -> Answer {
     let ticket = match ticket_of(node, classified) {
         Ok(ticket) => ticket,
         Err(answer) => return *answer,
@@ -39,7 +39,7 @@
     answer
 }
 
-fn ticket_of(node: &Arc<Node>, classified: &Classified) -> Result<Ticket, Box<Answer>> {
+fn ticket_of(node: &Arc<Node>, classified: &ClassifiedCall) -> Result<Ticket, Box<Answer>> {
     let call = &classified.call;
     let key = classified.idempotency_key.as_deref();
     if let Some(parent) = &classified.parent {
@@ -52,8 +52,8 @@
         let ticket = children.ticket_for(&node.keys, &service, key.map(str::as_bytes), choose_home);
         return ticket.map_err(|refusal| {
             Box::new(match refusal {
-                ChildRefusal::Foreign => unknown(refusal.reason()),
-                _ => not_run(refusal.reason(), None),
+                ChildRefusal::Foreign => unknown_answer(refusal.reason()),
+                _ => not_run_answer(refusal.reason(), None),
             })
         });
     }
@@ -67,12 +67,12 @@
 /// A key of the caller's own making never ran, and the caller gets a ticket to
 /// use instead. One with the form of a ticket that no valid key has signed was
 /// forged, or has outlived the fleet key that signed it: then it may have run.
-fn not_a_ticket(node: &Node, classified: &Classified, error: TicketError) -> Answer {
+fn not_a_ticket(node: &Node, classified: &ClassifiedCall, error: TicketError) -> Answer {
     match error {
-        TicketError::Foreign => unknown(error.reason()),
+        TicketError::Foreign => unknown_answer(error.reason()),
         TicketError::Malformed | TicketError::InvalidName => Answer {
             fresh_ticket: fresh_ticket(node, classified).unwrap_or_default(),
-            ..not_run(error.reason(), None)
+            ..not_run_answer(error.reason(), None)
         },
     }
 }
@@ -81,27 +81,27 @@
 /// a refusal costs the caller two round trips. Nothing of this request has
 /// run, so it may be shed here; one that carries a ticket may not, since an
 /// earlier send of it may have run.
-fn ask_for_ticket(node: &Node, classified: &Classified) -> Answer {
+fn ask_for_ticket(node: &Node, classified: &ClassifiedCall) -> Answer {
     if let Err(refusal) = admitted_view(node, classified) {
-        return not_run(refusal.reason, refusal.retry_after);
+        return not_run_answer(refusal.reason, refusal.retry_after);
     }
     match fresh_ticket(node, classified) {
         Some(fresh_ticket) => Answer {
             fresh_ticket,
-            ..not_run(Reason::TicketRequired, None)
+            ..not_run_answer(Reason::TicketRequired, None)
         },
-        None => not_run(Reason::NoUpstream, Some(wait_before_return(NOTHING_SHED))),
+        None => not_run_answer(Reason::NoUpstream, Some(wait_before_return(NOTHING_SHED))),
     }
 }
 
-fn fresh_ticket(node: &Node, classified: &Classified) -> Option<String> {
+fn fresh_ticket(node: &Node, classified: &ClassifiedCall) -> Option<String> {
     let ChildHome { home, epoch } = choose_home(node, classified)?;
     let service = classified.call.service.as_str().into();
     let ticket = Ticket::issue(&node.keys, service, home, epoch, rand::random());
     ticket.ok().map(|ticket| ticket.encode())
 }
 
-fn choose_home(node: &Node, classified: &Classified) -> Option<ChildHome> {
+fn choose_home(node: &Node, classified: &ClassifiedCall) -> Option<ChildHome> {
     let view = node.services.service(&classified.call.service)?;
     let peer = &view.peers[choose(&view, None)?];
     let is_own = peer.identity == node.identity;
@@ -120,7 +120,7 @@
 ///
 /// A lost link says nothing of a request that may have been sent before, so
 /// `not_run` is never said here: only the home can.
-async fn send_home(node: &Arc<Node>, classified: &Classified, ticket: &Ticket) -> Answer {
+async fn send_home(node: &Arc<Node>, classified: &ClassifiedCall, ticket: &Ticket) -> Answer {
     let mut call = classified.call.clone();
     call.purpose = CallPurpose::Home.into();
     let home_limit = classified.deadline.min(Instant::now() + HOME_WAIT);
@@ -134,7 +134,7 @@
         } = match peer {
             Some(peer) => {
                 let call = call.clone();
-                let Classified {
+                let ClassifiedCall {
                     deadline,
                     allowance,
                     ..
@@ -142,7 +142,7 @@
                 send_with_allowance(node, peer, call, *deadline, allowance).await
             }
             None => Delivery {
-                answer: unknown(Reason::HomeGone),
+                answer: unknown_answer(Reason::HomeGone),
                 is_receivers_word: false,
             },
         };
@@ -155,7 +155,7 @@
         }
         tokio::time::sleep(RESEND_PAUSE).await;
     }
-    unknown(Reason::Timeout)
+    unknown_answer(Reason::Timeout)
 }
 
 /// Whether the home may still say what became of the request: this send was
--- a/crates/hemlocktack-node/src/calls/tries.rs
+++ b/crates/hemlocktack-node/src/calls/tries.rs
@@ -3,8 +3,8 @@
 use hemlocktack_decide::{CallSends, combined_outcome};
 use hemlocktack_protocol::{Answer, CallFailure, Reason};
 
-use super::Classified;
-use super::ends::{NOTHING_SHED, not_run, wait_before_return};
+use super::ClassifiedCall;
+use super::ends::{NOTHING_SHED, not_run_answer, wait_before_return};
 use super::place::choose_among;
 use super::service_directory::ServiceView;
 
@@ -21,16 +21,16 @@
 }
 
 impl Tries {
-    pub(super) fn new(classified: &Classified) -> Self {
+    pub(super) fn new(classified: &ClassifiedCall) -> Self {
         Tries {
-            sends: CallSends::new(classified.upstreams_most.unwrap_or(usize::MAX)),
+            sends: CallSends::new(classified.max_upstreams.unwrap_or(usize::MAX)),
             told: None,
         }
     }
 
     /// The node that the call goes to next, on another upstream than the last
     /// one where that is allowed.
-    pub(super) fn next(&self, view: &ServiceView, classified: &Classified) -> Option<usize> {
+    pub(super) fn next(&self, view: &ServiceView, classified: &ClassifiedCall) -> Option<usize> {
         let may_get_it = |node| self.sends.may_send_to(node);
         let chosen = choose_among(view, may_get_it, classified.objective);
         chosen.or_else(|| self.sends.resend_target())
@@ -50,7 +50,7 @@
     /// upstream that is there, only full.
     pub(super) fn told_or_no_upstream(self) -> Answer {
         let retry_after = Some(wait_before_return(NOTHING_SHED));
-        let nowhere = || not_run(Reason::NoUpstream, retry_after);
+        let nowhere = || not_run_answer(Reason::NoUpstream, retry_after);
         self.told.map_or_else(nowhere, |told| told.answer)
     }
 }
--- a/crates/hemlocktack-node/src/configuration/follow.rs
+++ b/crates/hemlocktack-node/src/configuration/follow.rs
@@ -262,7 +262,7 @@
             query_id,
         })
     };
-    match node.links.ask(&peer, deadline, question).await? {
+    match node.links.query(&peer, deadline, question).await? {
         frame::Body::Configuration(document) => Some(document),
         _ => None,
     }
--- a/crates/hemlocktack-node/src/gateway/announcements.rs
+++ b/crates/hemlocktack-node/src/gateway/announcements.rs
@@ -14,7 +14,7 @@
 use super::server::untracked;
 use super::tracked_body::TrackedBody;
 use crate::node::Node;
-use crate::upstream::{Announcement, Speaker};
+use crate::upstream::{Announcement, MessageOrigin};
 
 /// Announcements are a few hundred bytes.
 const BODY_LIMIT_BYTES: usize = 16 << 10;
@@ -77,20 +77,20 @@
             started_unix_ms,
         } => (upstream_start, *started_unix_ms),
     };
-    let speaker = node
+    let origin = node
         .upstream_starts()
-        .speaker(upstream_start, started_unix_ms);
-    match speaker {
-        Speaker::Current => {}
-        Speaker::Earlier => return,
-        Speaker::Later => node.upstream_starts().follow(upstream_start),
-        Speaker::Other => {
+        .origin_of(upstream_start, started_unix_ms);
+    match origin {
+        MessageOrigin::Current => {}
+        MessageOrigin::Earlier => return,
+        MessageOrigin::Later => node.upstream_starts().set_current(upstream_start),
+        MessageOrigin::Other => {
             if !follow_if_it_listens(node, interface, upstream_start).await {
                 return;
             }
         }
     }
-    node.upstream_starts().note_started(started_unix_ms);
+    node.upstream_starts().set_started(started_unix_ms);
     match word {
         UpstreamMessage::Report(report) => take_report(node, &report),
         UpstreamMessage::Leaving { .. } => leave(node),
@@ -103,9 +103,9 @@
         .as_ref()
         .map(|health| health.upstream_start.as_str());
     let mut starts = node.upstream_starts();
-    let follows = starts.may_follow(upstream_start, listens);
+    let follows = starts.may_become_current(upstream_start, listens);
     if follows {
-        starts.follow(upstream_start);
+        starts.set_current(upstream_start);
     }
     follows
 }
@@ -118,8 +118,8 @@
         );
         return;
     }
-    let is_news = node.upstream_starts().is_news(report.sequence);
-    if !is_news {
+    let is_newer = node.upstream_starts().is_newer(report.sequence);
+    if !is_newer {
         return;
     }
     if report.state == AnnouncedState::Draining {
@@ -139,7 +139,7 @@
 }
 
 fn leave(node: &Node) {
-    node.upstream_starts().leave();
+    node.upstream_starts().mark_left();
     node.mark_upstream_draining();
 }
 
@@ -158,7 +158,7 @@
         cold,
         load_path: None,
         upstream_start: Some(upstream_start.into()),
-        start_number: node.upstream_starts().number(),
+        start_number: node.upstream_starts().current_number(),
     });
 }
 
@@ -182,10 +182,10 @@
 fn found(node: &Node, health: &Health) {
     {
         let mut starts = node.upstream_starts();
-        if !health.is_healthy || starts.is_known() {
+        if !health.is_healthy || starts.has_current() {
             return;
         }
-        starts.follow(&health.upstream_start);
+        starts.set_current(&health.upstream_start);
     }
     let Some(address) = node.settings.upstream_address else {
         return;
--- a/crates/hemlocktack-node/src/gateway/classify.rs
+++ b/crates/hemlocktack-node/src/gateway/classify.rs
@@ -8,7 +8,7 @@
 use hemlocktack_interface::IncomingRequest;
 use hemlocktack_protocol::{Call, ClassRank, Generation, Reason, stable_hash};
 
-use crate::calls::{Classified, RunningCall, SendRecord, fingerprint};
+use crate::calls::{ClassifiedCall, RunningCall, SendRecord, fingerprint};
 use crate::node::Node;
 
 /// Time that a caller is taken to wait where neither it nor its route says.
@@ -58,7 +58,9 @@
         .ok_or(Reason::UnknownService)?;
     let parent_id = entered.parent_request_id.as_deref();
     let waited = match (parent_id, entered.time_left) {
-        (None, Some(time_left)) => node.services.waited(route_id(route), time_left),
+        (None, Some(time_left)) => node
+            .services
+            .estimate_time_waited(route_id(route), time_left),
         _ => Duration::ZERO,
     };
     let parent = parent_id.and_then(|parent| node.contexts.find_by_request(parent));
@@ -132,9 +134,9 @@
 impl Routed {
     /// The call that goes through the fleet. A deeper call is of its root's
     /// class, and draws on the root's retries.
-    pub(super) fn classify(self, node: &Node, call: Call, now: Instant) -> Classified {
+    pub(super) fn classify(self, node: &Node, call: Call, now: Instant) -> ClassifiedCall {
         let kind = stable_hash(&[self.service.as_bytes(), self.route.as_bytes()]);
-        node.services.note_kind(kind, &self.service);
+        node.services.register_work_kind(kind, &self.service);
         let fingerprint = fingerprint(&self.service, &call.method, &call.path, &call.body);
         let parent = self.parent;
         let class_rank = parent
@@ -146,7 +148,7 @@
             None if self.is_deeper => Arc::new(allowance_of_orphan()),
             None => Arc::new(allowance_of_root(self.attempts)),
         };
-        Classified {
+        ClassifiedCall {
             call: Call {
                 service: self.service,
                 fingerprint,
@@ -169,7 +171,7 @@
             deadline: self.deadline,
             objective: self.objective,
             allowance,
-            upstreams_most: usize::try_from(self.attempts).ok(),
+            max_upstreams: usize::try_from(self.attempts).ok(),
             generation: self.generation,
             parent,
             idempotency_key: None,
--- a/crates/hemlocktack-node/src/gateway/lines.rs
+++ b/crates/hemlocktack-node/src/gateway/lines.rs
@@ -6,7 +6,7 @@
 use hemlocktack_protocol::{Answer, Outcome};
 use hemlocktack_telemetry::{Event, log_event};
 
-use crate::calls::{Classified, WaitingSend};
+use crate::calls::{ClassifiedCall, PendingSend};
 use crate::node::Node;
 
 /// A request that was read. Dropped before its answer is given to the HTTP library,
@@ -70,7 +70,12 @@
     );
 }
 
-pub(super) fn log_late(node: &Node, classified: &Classified, answer: &Answer, started: Instant) {
+pub(super) fn log_late(
+    node: &Node,
+    classified: &ClassifiedCall,
+    answer: &Answer,
+    started: Instant,
+) {
     let is_late = classified
         .objective
         .is_some_and(|objective| Instant::now() > objective);
@@ -98,7 +103,7 @@
 pub(super) fn log_ended_by_limit(
     node: &Node,
     entered: &IncomingRequest,
-    waiting: Option<WaitingSend>,
+    waiting: Option<PendingSend>,
     outcome: Outcome,
     began: Instant,
 ) {
--- a/crates/hemlocktack-node/src/gateway/requests.rs
+++ b/crates/hemlocktack-node/src/gateway/requests.rs
@@ -16,7 +16,7 @@
 use super::tracked_body::TrackedBody;
 use super::unread_body::refuse_and_discard;
 use super::{forwarded_headers, server};
-use crate::calls::{self, Classified, not_run, retry_after};
+use crate::calls::{self, ClassifiedCall, not_run_answer, retry_after};
 use crate::counters::InFlightGuard;
 use crate::node::Node;
 use crate::telemetry::request_line;
@@ -33,7 +33,7 @@
         Ok(entered) => entered,
         Err(reason) => {
             let unread = IncomingRequest::default();
-            let answer = not_run(reason, None);
+            let answer = not_run_answer(reason, None);
             log_refused(&node, &unread, &answer);
             let refusal = refuse(interface, unread.request_id, answer);
             return refuse_and_discard(refusal, &head, body);
@@ -65,15 +65,15 @@
     let began = Instant::now();
     let routed = match find_route(node, entered, path, began) {
         Ok(routed) => routed,
-        Err(reason) => return not_run(reason, None),
+        Err(reason) => return not_run_answer(reason, None),
     };
     if !routed.is_deeper && node.refuses_entries() {
-        return not_run(Reason::Draining, None);
+        return not_run_answer(Reason::Draining, None);
     }
     let service = routed.service.clone();
     let body = match take_body(node, entered, body, &routed, began).await {
         Ok(body) => body,
-        Err(reason) => return not_run(reason, None),
+        Err(reason) => return not_run_answer(reason, None),
     };
     let call = Call {
         request_id: entered.request_id.clone(),
@@ -87,11 +87,11 @@
     let started = Instant::now();
     let classified = routed.classify(node, call, started);
     if let Some(parent) = &classified.parent {
-        parent.go_deeper();
+        parent.child_call_began();
     }
     let answer = place(node, entered, &classified, began).await;
     if let Some(parent) = &classified.parent {
-        parent.count_deeper(classified.kind, started.elapsed(), &answer);
+        parent.child_call_ended(classified.kind, started.elapsed(), &answer);
     }
     let (outcome, reason) = (answer.outcome(), answer.reason());
     node.waits.entry.observe(span.elapsed());
@@ -129,15 +129,15 @@
 async fn place(
     node: &Arc<Node>,
     entered: &IncomingRequest,
-    classified: &Classified,
+    classified: &ClassifiedCall,
     began: Instant,
 ) -> Answer {
     tokio::select! {
         biased;
-        answer = calls::run_placed(node, classified) => answer,
+        answer = calls::run_with_retries(node, classified) => answer,
         () = node.signals.drain_limit_reached.cancelled() => {
-            let answer = classified.sends.early_end(Reason::Draining);
-            let waiting = classified.sends.waiting();
+            let answer = classified.sends.early_answer(Reason::Draining);
+            let waiting = classified.sends.pending();
             log_ended_by_limit(node, entered, waiting, answer.outcome(), began);
             answer
         }
--- a/crates/hemlocktack-node/src/handover/give.rs
+++ b/crates/hemlocktack-node/src/handover/give.rs
@@ -17,7 +17,7 @@
 const OFFER_PAUSE: Duration = Duration::from_millis(200);
 /// Full tables take a few hundred parts; a node that found no successor within
 /// this time leaves, and its tickets' outcome is `unknown` from then on.
-pub(crate) const LIMIT: Duration = Duration::from_secs(10);
+pub(crate) const TIME_LIMIT: Duration = Duration::from_secs(10);
 /// A service whose last node stops has nobody to hand over to.
 const LAST_OF_SERVICE_WAIT: Duration = Duration::from_secs(1);
 
@@ -28,10 +28,10 @@
 }
 
 /// Hands over all tickets; `None` if no successor confirmed that it has them.
-pub(crate) async fn give(node: &Arc<Node>) -> Option<NodeIncarnation> {
+pub(crate) async fn send_tickets(node: &Arc<Node>) -> Option<NodeIncarnation> {
     let mut leaving = OutgoingHandover::begin(&mut node.home.table());
     let begun = Instant::now();
-    while begun.elapsed() < LIMIT {
+    while begun.elapsed() < TIME_LIMIT {
         let successors = successors(node);
         if successors.is_empty() && begun.elapsed() > LAST_OF_SERVICE_WAIT {
             return None;
@@ -107,7 +107,7 @@
     let question = |query_id| frame::Body::Handover(Handover { query_id, ..part });
     let answer = node
         .links
-        .ask_incarnation(
+        .query_incarnation(
             &successor.peer,
             successor.name.incarnation,
             deadline,
--- a/crates/hemlocktack-node/src/handover/mod.rs
+++ b/crates/hemlocktack-node/src/handover/mod.rs
@@ -5,5 +5,5 @@
 mod give;
 mod take;
 
-pub(crate) use give::{LIMIT, give};
-pub(crate) use take::take;
+pub(crate) use give::{TIME_LIMIT, send_tickets};
+pub(crate) use take::receive_frame;
--- a/crates/hemlocktack-node/src/handover/take.rs
+++ b/crates/hemlocktack-node/src/handover/take.rs
@@ -10,7 +10,11 @@
 ///
 /// From the commit on this node is the home; others learn it from its own
 /// record, see `Node::own_member`.
-pub(crate) fn take(node: &Node, from: &NodeIncarnation, frame: Handover) -> HandoverAccepted {
+pub(crate) fn receive_frame(
+    node: &Node,
+    from: &NodeIncarnation,
+    frame: Handover,
+) -> HandoverAccepted {
     let refused = HandoverAccepted {
         home_node_id: frame.home_node_id.clone(),
         home_incarnation: frame.home_incarnation,
--- a/crates/hemlocktack-node/src/links/incoming.rs
+++ b/crates/hemlocktack-node/src/links/incoming.rs
@@ -100,7 +100,7 @@
             resolve_call(node, sender, connection, resolve.call_id).await
         }
         frame::Body::Handover(part) => {
-            let accepted = handover::take(node, &sender.identity, part);
+            let accepted = handover::receive_frame(node, &sender.identity, part);
             connection
                 .send(frame::Body::HandoverAccepted(accepted))
                 .await;
--- a/crates/hemlocktack-node/src/links/mod.rs
+++ b/crates/hemlocktack-node/src/links/mod.rs
@@ -20,5 +20,5 @@
 
 pub(crate) use codec::FrameCodec;
 pub(crate) use incoming::serve_links;
-pub(crate) use outgoing::{Links, Peer, Sent};
+pub(crate) use outgoing::{Links, Peer, SendOutcome};
 pub(crate) use senders::Senders;
--- a/crates/hemlocktack-node/src/links/outgoing.rs
+++ b/crates/hemlocktack-node/src/links/outgoing.rs
@@ -39,7 +39,7 @@
 
 /// How one send to another node ended.
 #[derive(Debug)]
-pub(crate) enum Sent {
+pub(crate) enum SendOutcome {
     Answer(Answer),
     /// No byte left, or the receiver has fenced the call: it will never run.
     NeverArrived(Reason),
@@ -92,10 +92,10 @@
     /// this incarnation, never reused, and rising on each link. One that was
     /// drawn before a wait for room could arrive after so many later ones that
     /// the receiver takes it for a call of long ago.
-    pub(crate) async fn call(&self, peer: &Peer, mut call: Call, deadline: Instant) -> Sent {
+    pub(crate) async fn call(&self, peer: &Peer, mut call: Call, deadline: Instant) -> SendOutcome {
         let link = self.link(peer);
         let Some(connection) = self.connect(&link, deadline).await else {
-            return Sent::NeverArrived(Reason::LinkLost);
+            return SendOutcome::NeverArrived(Reason::LinkLost);
         };
         let (events, receiver) = mpsc::channel(EVENTS_A_CALL);
         let ask_again_limit = ask_again_limit(call.purpose());
@@ -108,11 +108,11 @@
         // A peer that is frozen reads nothing, so the wait for room has to end too.
         match tokio::time::timeout_at(deadline.into(), sending).await {
             Ok(true) => {}
-            Ok(false) => return Sent::NeverArrived(Reason::LinkLost),
-            Err(_) => return Sent::NeverArrived(Reason::Timeout),
+            Ok(false) => return SendOutcome::NeverArrived(Reason::LinkLost),
+            Err(_) => return SendOutcome::NeverArrived(Reason::Timeout),
         }
         let Some(pending) = pending else {
-            return Sent::NeverArrived(Reason::LinkLost);
+            return SendOutcome::NeverArrived(Reason::LinkLost);
         };
         let wait = Wait {
             link: &link,
@@ -128,7 +128,7 @@
         wait: Wait<'_>,
         mut connection: Connection,
         mut events: mpsc::Receiver<CallEvent>,
-    ) -> Sent {
+    ) -> SendOutcome {
         let incarnation = connection.peer_incarnation;
         let mut leaving = CancelOnLeaving::new(wait.call_id, &connection);
         let mut sent = Instant::now();
@@ -138,7 +138,7 @@
                 event = events.recv() => match event {
                     Some(CallEvent::Answer(answer)) => {
                         leaving.stay();
-                        return Sent::Answer(answer);
+                        return SendOutcome::Answer(answer);
                     }
                     Some(CallEvent::Resolution(progress)) => {
                         if let Some(sent) = settled(progress) {
@@ -146,7 +146,7 @@
                             return sent;
                         }
                     }
-                    None => return Sent::Unknown(Reason::LinkLost),
+                    None => return SendOutcome::Unknown(Reason::LinkLost),
                 },
                 // What else waits on it learns of the loss by its close.
                 () = connection.lost(sent) => connection.close(),
@@ -157,11 +157,11 @@
                             connection = next;
                             sent = Instant::now();
                         }
-                        Err(reason) => return Sent::Unknown(reason),
+                        Err(reason) => return SendOutcome::Unknown(reason),
                     }
                 }
                 () = tokio::time::sleep_until(wait.deadline.into()) => {
-                    return Sent::Unknown(Reason::Timeout);
+                    return SendOutcome::Unknown(Reason::Timeout);
                 }
             }
         }
@@ -254,11 +254,11 @@
     }
 }
 
-fn settled(progress: CallProgress) -> Option<Sent> {
+fn settled(progress: CallProgress) -> Option<SendOutcome> {
     match progress {
-        CallProgress::NeverArrived => Some(Sent::NeverArrived(Reason::Fenced)),
+        CallProgress::NeverArrived => Some(SendOutcome::NeverArrived(Reason::Fenced)),
         CallProgress::Forgotten | CallProgress::Unspecified => {
-            Some(Sent::Unknown(Reason::AnswerNotKept))
+            Some(SendOutcome::Unknown(Reason::AnswerNotKept))
         }
         CallProgress::Running | CallProgress::Finished => None,
     }
--- a/crates/hemlocktack-node/src/links/queries.rs
+++ b/crates/hemlocktack-node/src/links/queries.rs
@@ -54,7 +54,7 @@
 
 impl Links {
     /// Asks one node; `question` gets the query id to put into its message.
-    pub(crate) async fn ask(
+    pub(crate) async fn query(
         &self,
         peer: &Peer,
         deadline: Instant,
@@ -62,11 +62,11 @@
     ) -> Option<frame::Body> {
         let link = self.link(peer);
         let connection = self.connect(&link, deadline).await?;
-        self.ask_over(&connection, deadline, question).await
+        self.query_over(&connection, deadline, question).await
     }
 
     /// Asks one start of a node and no other.
-    pub(crate) async fn ask_incarnation(
+    pub(crate) async fn query_incarnation(
         &self,
         peer: &Peer,
         incarnation: Incarnation,
@@ -78,10 +78,10 @@
         if connection.peer_incarnation != incarnation {
             return None;
         }
-        self.ask_over(&connection, deadline, question).await
+        self.query_over(&connection, deadline, question).await
     }
 
-    async fn ask_over(
+    async fn query_over(
         &self,
         connection: &Connection,
         deadline: Instant,
--- a/crates/hemlocktack-node/src/node/mod.rs
+++ b/crates/hemlocktack-node/src/node/mod.rs
@@ -30,7 +30,7 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use crate::calls::{AdmissionQueue, ContextTable, Home, ServiceDirectory};
+use crate::calls::{AdmissionQueue, ContextTable, ServiceDirectory, TicketHome};
 use crate::configuration as follower;
 use crate::counters::{Counters, InFlightGuard};
 use crate::interfaces;
@@ -54,7 +54,7 @@
     pub(crate) contexts: ContextTable,
     pub(crate) upstream_client: UpstreamClient,
     pub(crate) admission_queue: Arc<AdmissionQueue>,
-    pub(crate) home: Home,
+    pub(crate) home: TicketHome,
     pub(crate) services: ServiceDirectory,
     pub(crate) counters: Counters,
     pub(crate) operator_refusals: LogThrottle,
@@ -138,7 +138,7 @@
             start_order: unix_ms(),
             platform,
             links: Links::new(identity.clone(), keys.clone()),
-            home: Home::new(&identity),
+            home: TicketHome::new(&identity),
             services: ServiceDirectory::new(settings.data_centre.clone()),
             admission_queue: Arc::new(AdmissionQueue::new(policies::admission_policy(&settings))),
             counters: Counters::default(),
--- a/crates/hemlocktack-node/src/node/policies.rs
+++ b/crates/hemlocktack-node/src/node/policies.rs
@@ -7,7 +7,7 @@
 
 use crate::handover;
 use crate::settings::{AdjustableSettings, InterfaceName, Settings};
-use crate::upstream::{RENEW_EVERY, RENEWALS_MISSED_MAX};
+use crate::upstream::{MAX_MISSED_RENEWALS, RENEWAL_INTERVAL};
 
 /// News of a drain reaches all nodes within this time; until then a draining
 /// node is there to refuse what still comes.
@@ -36,10 +36,10 @@
             InterfaceName::Cooperative => INTERFACE_DRAIN_SETTLE,
         },
         hard_limit: Some(drain_limit(adjustable)),
-        handover_limit: handover::LIMIT,
+        handover_limit: handover::TIME_LIMIT,
         upstream: UpstreamSettings {
             announcement_ttl: match settings.interface {
-                InterfaceName::Own => RENEW_EVERY * RENEWALS_MISSED_MAX,
+                InterfaceName::Own => RENEWAL_INTERVAL * MAX_MISSED_RENEWALS,
                 InterfaceName::Cooperative => INTERFACE_ANNOUNCEMENT_TTL,
             },
             ..UpstreamSettings::default()
--- a/crates/hemlocktack-node/src/node/upstream.rs
+++ b/crates/hemlocktack-node/src/node/upstream.rs
@@ -93,6 +93,6 @@
             .chain_edges
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        edges.level(kind, |deeper| self.services.level_of_kind(deeper))
+        edges.level(kind, |deeper| self.services.shed_level_of_kind(deeper))
     }
 }
--- a/crates/hemlocktack-node/src/operators/fan_out.rs
+++ b/crates/hemlocktack-node/src/operators/fan_out.rs
@@ -74,7 +74,7 @@
         return None;
     };
     let deadline = Instant::now() + ANSWER_TIMEOUT;
-    node.links.ask(&peer, deadline, question).await
+    node.links.query(&peer, deadline, question).await
 }
 
 fn may_run(member: &Member) -> bool {
--- a/crates/hemlocktack-node/src/peers/mod.rs
+++ b/crates/hemlocktack-node/src/peers/mod.rs
@@ -27,7 +27,7 @@
 
 /// Waits until members have been told that this node has left, and withdraws
 /// its record.
-pub(crate) async fn say_farewell(node: &Node) {
+pub(crate) async fn announce_departure(node: &Node) {
     let told = node.signals.leave_announced.notified();
     let withdrawn = node.records.withdraw(&node.identity.node_id);
     let both = async { tokio::join!(told, withdrawn) };
--- a/crates/hemlocktack-node/src/run.rs
+++ b/crates/hemlocktack-node/src/run.rs
@@ -136,7 +136,7 @@
     let interface = node.interface;
     let node = Arc::new(node);
     tokio::spawn(reload::follow_settings(node.clone(), sources, loaded));
-    tokio::spawn(node.admission_queue.clone().keep_awake());
+    tokio::spawn(node.admission_queue.clone().run_timer());
     let link_listener = listen(node.settings.link_listen_address).await?;
     let control = http(&node, node.settings.control_address)
         .mount("/", control::routes())
@@ -152,7 +152,7 @@
     tokio::spawn(links::serve_links(node.clone(), link_listener));
     peers::start(&node).await?;
     configuration::start(&node)?;
-    tokio::spawn(upstream::follow_load(node.clone()));
+    tokio::spawn(upstream::poll_load(node.clone()));
     tokio::spawn(telemetry::monitor(node.clone()));
     log_event!(
         Event::NodeStarted,
@@ -179,7 +179,7 @@
     if interface.is_some() {
         gateway::close(&node).await;
     }
-    peers::say_farewell(&node).await;
+    peers::announce_departure(&node).await;
     node.signals.stopped.cancel();
     // The gateway has already sent its responses, and the process has little time left.
     if interface.is_some() {
--- a/crates/hemlocktack-node/src/stop.rs
+++ b/crates/hemlocktack-node/src/stop.rs
@@ -65,7 +65,7 @@
         node.update_lifecycle(|life, _| life.handed_over());
         return;
     }
-    match handover::give(node).await {
+    match handover::send_tickets(node).await {
         Some(successor) => log_event!(Event::HandoverDone, %successor),
         None => log_event!(Event::HandoverFailed),
     }
--- a/crates/hemlocktack-node/src/upstream/announce.rs
+++ b/crates/hemlocktack-node/src/upstream/announce.rs
@@ -11,9 +11,9 @@
 use crate::node::Node;
 
 /// An upstream that has not renewed for three of these counts as absent.
-pub(crate) const RENEW_EVERY: Duration = Duration::from_millis(1000);
+pub(crate) const RENEWAL_INTERVAL: Duration = Duration::from_millis(1000);
 /// Renewals that may be missed.
-pub(crate) const RENEWALS_MISSED_MAX: u32 = 3;
+pub(crate) const MAX_MISSED_RENEWALS: u32 = 3;
 
 /// Routes of the upstream on the control address.
 pub(crate) fn routes() -> Vec<Route> {
@@ -34,7 +34,7 @@
         return refuse("load_path begins with /");
     }
     node.apply_announcement(announcement);
-    let reply = serde_json::json!({ "renew_every_ms": RENEW_EVERY.as_millis() as u64 });
+    let reply = serde_json::json!({ "renew_every_ms": RENEWAL_INTERVAL.as_millis() as u64 });
     (Status::Ok, (ContentType::JSON, reply.to_string()))
 }
 
--- a/crates/hemlocktack-node/src/upstream/any_client.rs
+++ b/crates/hemlocktack-node/src/upstream/any_client.rs
@@ -8,7 +8,7 @@
 
 use super::client::OwnClient;
 use super::interface_client::InterfaceClient;
-use super::{UpstreamEnd, UpstreamSend};
+use super::{UpstreamOutcome, UpstreamRequest};
 
 /// Client for one upstream.
 pub(crate) enum UpstreamClient {
@@ -26,7 +26,7 @@
     }
 
     /// Sends the call and reads the answer to its declared end.
-    pub(crate) async fn send(&self, send: UpstreamSend<'_>) -> UpstreamEnd {
+    pub(crate) async fn send(&self, send: UpstreamRequest<'_>) -> UpstreamOutcome {
         match self {
             Self::Own(client) => client.send(&send).await,
             Self::Interface(client) => client.send(&send).await,
--- a/crates/hemlocktack-node/src/upstream/client.rs
+++ b/crates/hemlocktack-node/src/upstream/client.rs
@@ -8,7 +8,7 @@
 };
 use reqwest::{Client, Method, Response};
 
-use super::{UpstreamEnd, UpstreamSend};
+use super::{UpstreamOutcome, UpstreamRequest};
 use crate::callers::is_passed_on;
 
 /// Client for one upstream that speaks the product's own interface.
@@ -39,8 +39,8 @@
         let response = self.client.get(url).timeout(timeout).send().await.ok()?;
         let response = response.error_for_status().ok()?;
         match read_whole(response, limit_bytes).await {
-            UpstreamEnd::Answered { body, .. } => Some(body),
-            UpstreamEnd::NotRun(_) | UpstreamEnd::Unknown(_) => None,
+            UpstreamOutcome::Answered { body, .. } => Some(body),
+            UpstreamOutcome::NotRun(_) | UpstreamOutcome::Unknown(_) => None,
         }
     }
 
@@ -48,19 +48,19 @@
     ///
     /// A body that stops short of its declared length is an error of the HTTP
     /// library and becomes `Unknown`: the caller never gets a cut answer.
-    pub(super) async fn send(&self, send: &UpstreamSend<'_>) -> UpstreamEnd {
+    pub(super) async fn send(&self, send: &UpstreamRequest<'_>) -> UpstreamOutcome {
         let time_left = send.deadline.saturating_duration_since(Instant::now());
         match tokio::time::timeout(time_left, self.exchange(send, time_left)).await {
             Ok(end) => end,
-            Err(_) => UpstreamEnd::Unknown(Reason::Timeout),
+            Err(_) => UpstreamOutcome::Unknown(Reason::Timeout),
         }
     }
 
-    async fn exchange(&self, send: &UpstreamSend<'_>, time_left: Duration) -> UpstreamEnd {
+    async fn exchange(&self, send: &UpstreamRequest<'_>, time_left: Duration) -> UpstreamOutcome {
         let call = send.call;
         let address = send.announcement.address;
         let Ok(method) = Method::from_bytes(call.method.as_bytes()) else {
-            return UpstreamEnd::NotRun(Reason::MalformedRequest);
+            return UpstreamOutcome::NotRun(Reason::MalformedRequest);
         };
         let mut request = self
             .client
@@ -76,31 +76,33 @@
         }
         match request.body(call.body.clone()).send().await {
             Ok(response) => read_whole(response, send.answer_limit_bytes).await,
-            Err(error) if error.is_builder() => UpstreamEnd::NotRun(Reason::MalformedRequest),
-            Err(error) if error.is_connect() => UpstreamEnd::NotRun(Reason::UpstreamUnreachable),
-            Err(_) => UpstreamEnd::Unknown(Reason::UpstreamFailed),
+            Err(error) if error.is_builder() => UpstreamOutcome::NotRun(Reason::MalformedRequest),
+            Err(error) if error.is_connect() => {
+                UpstreamOutcome::NotRun(Reason::UpstreamUnreachable)
+            }
+            Err(_) => UpstreamOutcome::Unknown(Reason::UpstreamFailed),
         }
     }
 }
 
-async fn read_whole(mut response: Response, limit_bytes: usize) -> UpstreamEnd {
+async fn read_whole(mut response: Response, limit_bytes: usize) -> UpstreamOutcome {
     let status = response.status().as_u16();
     if is_shed(&response) {
-        return UpstreamEnd::NotRun(Reason::UpstreamShed);
+        return UpstreamOutcome::NotRun(Reason::UpstreamShed);
     }
     let headers = passed_on(&response);
     let mut body = BytesMut::new();
     loop {
         match response.chunk().await {
             Ok(Some(chunk)) if body.len() + chunk.len() > limit_bytes => {
-                return UpstreamEnd::Unknown(Reason::AnswerTooLarge);
+                return UpstreamOutcome::Unknown(Reason::AnswerTooLarge);
             }
             Ok(Some(chunk)) => body.extend_from_slice(&chunk),
             Ok(None) => break,
-            Err(_) => return UpstreamEnd::Unknown(Reason::UpstreamFailed),
+            Err(_) => return UpstreamOutcome::Unknown(Reason::UpstreamFailed),
         }
     }
-    UpstreamEnd::Answered {
+    UpstreamOutcome::Answered {
         status,
         headers,
         body: body.freeze(),
--- a/crates/hemlocktack-node/src/upstream/interface_client.rs
+++ b/crates/hemlocktack-node/src/upstream/interface_client.rs
@@ -12,7 +12,7 @@
 use hyper::body::Incoming;
 
 use super::connections::{Connections, Leased};
-use super::{UpstreamEnd, UpstreamSend};
+use super::{UpstreamOutcome, UpstreamRequest};
 use crate::gateway::forwarded_headers;
 
 /// Idle connections that may turn out closed before a new one is opened.
@@ -40,39 +40,43 @@
 
     /// Sends the call and reads the answer to its end, until the deadline. A
     /// caller that goes before drops this future, which closes the connection.
-    pub(super) async fn send(&self, send: &UpstreamSend<'_>) -> UpstreamEnd {
+    pub(super) async fn send(&self, send: &UpstreamRequest<'_>) -> UpstreamOutcome {
         match tokio::time::timeout_at(send.deadline.into(), self.exchange(send)).await {
             Ok(end) => end,
-            Err(_) => UpstreamEnd::Unknown(Reason::Timeout),
+            Err(_) => UpstreamOutcome::Unknown(Reason::Timeout),
         }
     }
 
-    async fn exchange(&self, send: &UpstreamSend<'_>) -> UpstreamEnd {
+    async fn exchange(&self, send: &UpstreamRequest<'_>) -> UpstreamOutcome {
         let (leased, response) = match self.send_head(send).await {
             Ok(Ok(sent)) => sent,
-            Ok(Err(reason)) => return UpstreamEnd::Unknown(reason),
-            Err(NotSent::Unreachable) => return UpstreamEnd::NotRun(Reason::UpstreamUnreachable),
-            Err(NotSent::Malformed) => return UpstreamEnd::NotRun(Reason::MalformedRequest),
+            Ok(Err(reason)) => return UpstreamOutcome::Unknown(reason),
+            Err(NotSent::Unreachable) => {
+                return UpstreamOutcome::NotRun(Reason::UpstreamUnreachable);
+            }
+            Err(NotSent::Malformed) => return UpstreamOutcome::NotRun(Reason::MalformedRequest),
         };
         let (head, body) = response.into_parts();
         // It speaks another protocol from here on, which nobody asked for.
         if head.status == StatusCode::SWITCHING_PROTOCOLS {
-            return UpstreamEnd::Unknown(Reason::UpstreamFailed);
+            return UpstreamOutcome::Unknown(Reason::UpstreamFailed);
         }
         let end = match (self.codec.check_answer)(&head, &send.call.request_id) {
             AnswerCheck::Answer => None,
-            AnswerCheck::NotRun(reason) => Some(UpstreamEnd::NotRun(reason)),
-            AnswerCheck::OtherInstance => Some(UpstreamEnd::NotRun(Reason::UpstreamReplaced)),
+            AnswerCheck::NotRun(reason) => Some(UpstreamOutcome::NotRun(reason)),
+            AnswerCheck::OtherInstance => Some(UpstreamOutcome::NotRun(Reason::UpstreamReplaced)),
             // What comes next on this connection belongs to nobody here.
-            AnswerCheck::OtherRequest => return UpstreamEnd::Unknown(Reason::UpstreamFailed),
-            AnswerCheck::UnconfirmedNotRun => Some(UpstreamEnd::Unknown(Reason::UpstreamFailed)),
+            AnswerCheck::OtherRequest => return UpstreamOutcome::Unknown(Reason::UpstreamFailed),
+            AnswerCheck::UnconfirmedNotRun => {
+                Some(UpstreamOutcome::Unknown(Reason::UpstreamFailed))
+            }
         };
         let body = match read_whole(body, send.answer_limit_bytes).await {
             Ok(body) => body,
-            Err(reason) => return end.unwrap_or(UpstreamEnd::Unknown(reason)),
+            Err(reason) => return end.unwrap_or(UpstreamOutcome::Unknown(reason)),
         };
         self.connections.give_back(leased, &head.headers);
-        end.unwrap_or_else(|| UpstreamEnd::Answered {
+        end.unwrap_or_else(|| UpstreamOutcome::Answered {
             status: head.status.as_u16(),
             headers: forwarded_headers(&head.headers, &[]),
             body,
@@ -83,7 +87,7 @@
     /// sent again, on another connection.
     async fn send_head(
         &self,
-        send: &UpstreamSend<'_>,
+        send: &UpstreamRequest<'_>,
     ) -> Result<Result<(Leased, Response<Incoming>), Reason>, NotSent> {
         let address = send.announcement.address;
         for tried in 0.. {
@@ -112,7 +116,7 @@
         Err(NotSent::Unreachable)
     }
 
-    fn request(&self, send: &UpstreamSend<'_>) -> Option<Request<Full<Bytes>>> {
+    fn request(&self, send: &UpstreamRequest<'_>) -> Option<Request<Full<Bytes>>> {
         let call = send.call;
         let mut request = Request::new(Full::new(call.body.clone()));
         *request.method_mut() = Method::from_bytes(call.method.as_bytes()).ok()?;
--- a/crates/hemlocktack-node/src/upstream/load.rs
+++ b/crates/hemlocktack-node/src/upstream/load.rs
@@ -28,7 +28,7 @@
 };
 
 /// Asks the upstream until the node has stopped.
-pub(crate) async fn follow_load(node: Arc<Node>) {
+pub(crate) async fn poll_load(node: Arc<Node>) {
     while !node.signals.stopped.is_cancelled() {
         tokio::time::sleep(ASK_EVERY).await;
         ask(&node).await;
--- a/crates/hemlocktack-node/src/upstream/mod.rs
+++ b/crates/hemlocktack-node/src/upstream/mod.rs
@@ -10,9 +10,9 @@
 mod send;
 mod starts;
 
-pub(crate) use announce::{RENEW_EVERY, RENEWALS_MISSED_MAX, routes};
+pub(crate) use announce::{MAX_MISSED_RENEWALS, RENEWAL_INTERVAL, routes};
 pub(crate) use announcement::Announcement;
 pub(crate) use any_client::UpstreamClient;
-pub(crate) use load::follow_load;
-pub(crate) use send::{UpstreamEnd, UpstreamSend};
-pub(crate) use starts::{Speaker, UpstreamStarts};
+pub(crate) use load::poll_load;
+pub(crate) use send::{UpstreamOutcome, UpstreamRequest};
+pub(crate) use starts::{MessageOrigin, UpstreamStarts};
--- a/crates/hemlocktack-node/src/upstream/send.rs
+++ b/crates/hemlocktack-node/src/upstream/send.rs
@@ -8,7 +8,7 @@
 use super::Announcement;
 
 /// One send of a call to the upstream.
-pub(crate) struct UpstreamSend<'a> {
+pub(crate) struct UpstreamRequest<'a> {
     pub(crate) announcement: &'a Announcement,
     pub(crate) call: &'a Call,
     /// Opaque header by which deeper calls find their parent.
@@ -18,7 +18,7 @@
 }
 
 /// How one send to the upstream ended.
-pub(crate) enum UpstreamEnd {
+pub(crate) enum UpstreamOutcome {
     Answered {
         status: u16,
         headers: Vec<Header>,
--- a/crates/hemlocktack-node/src/upstream/starts.rs
+++ b/crates/hemlocktack-node/src/upstream/starts.rs
@@ -9,7 +9,7 @@
 
 /// Which start a message is from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Speaker {
+pub(crate) enum MessageOrigin {
     Current,
     /// One of the current start's name, before it.
     Earlier,
@@ -34,7 +34,7 @@
 
 impl UpstreamStarts {
     /// Whether a start is known at all.
-    pub(crate) fn is_known(&self) -> bool {
+    pub(crate) fn has_current(&self) -> bool {
         self.current.is_some()
     }
 
@@ -46,27 +46,31 @@
     /// upstream gets nothing for as long as it lives; or a leave that was held
     /// up takes the later start out. Times of one machine's starts tell them
     /// apart, whatever its clock.
-    pub(crate) fn speaker(&self, upstream_start: &str, started_unix_ms: Option<u64>) -> Speaker {
+    pub(crate) fn origin_of(
+        &self,
+        upstream_start: &str,
+        started_unix_ms: Option<u64>,
+    ) -> MessageOrigin {
         if self.current.as_deref() != Some(upstream_start) {
-            return Speaker::Other;
+            return MessageOrigin::Other;
         }
         let (Some(known), Some(said)) = (self.started_unix_ms, started_unix_ms) else {
-            return Speaker::Current;
+            return MessageOrigin::Current;
         };
         match said.cmp(&known) {
-            Ordering::Less => Speaker::Earlier,
-            Ordering::Equal => Speaker::Current,
-            Ordering::Greater => Speaker::Later,
+            Ordering::Less => MessageOrigin::Earlier,
+            Ordering::Equal => MessageOrigin::Current,
+            Ordering::Greater => MessageOrigin::Later,
         }
     }
 
     /// The current start has said when it started.
-    pub(crate) fn note_started(&mut self, started_unix_ms: Option<u64>) {
+    pub(crate) fn set_started(&mut self, started_unix_ms: Option<u64>) {
         self.started_unix_ms = started_unix_ms.or(self.started_unix_ms);
     }
 
     /// Number of the current start.
-    pub(crate) fn number(&self) -> u64 {
+    pub(crate) fn current_number(&self) -> u64 {
         self.followed
     }
 
@@ -77,12 +81,12 @@
     }
 
     /// Whether a message of the current start is later than those before it.
-    pub(crate) fn is_news(&mut self, sequence: u64) -> bool {
-        let is_news = self.sequence.is_none_or(|seen| seen < sequence);
-        if is_news {
+    pub(crate) fn is_newer(&mut self, sequence: u64) -> bool {
+        let is_newer = self.sequence.is_none_or(|seen| seen < sequence);
+        if is_newer {
             self.sequence = Some(sequence);
         }
-        is_news
+        is_newer
     }
 
     /// Whether another start's word is to be taken; `listens` is the start that
@@ -93,7 +97,7 @@
     /// to a start that is gone, and refused by the one that is there. Who
     /// listens settles it; where nobody answers, a start that is known to be
     /// gone stays gone.
-    pub(crate) fn may_follow(&self, upstream_start: &str, listens: Option<&str>) -> bool {
+    pub(crate) fn may_become_current(&self, upstream_start: &str, listens: Option<&str>) -> bool {
         match listens {
             Some(listens) => listens == upstream_start,
             None => !self.gone.iter().any(|gone| gone == upstream_start),
@@ -101,7 +105,7 @@
     }
 
     /// Another start is the current one from now on.
-    pub(crate) fn follow(&mut self, upstream_start: &str) {
+    pub(crate) fn set_current(&mut self, upstream_start: &str) {
         if let Some(before) = self.current.replace(upstream_start.to_owned()) {
             self.gone.push_back(before);
         }
@@ -116,7 +120,7 @@
     }
 
     /// The current start takes no more work.
-    pub(crate) fn leave(&mut self) {
+    pub(crate) fn mark_left(&mut self) {
         self.has_left = true;
     }
 }
--- a/crates/hemlocktack-node/tests/panics.rs
+++ b/crates/hemlocktack-node/tests/panics.rs
@@ -6,7 +6,7 @@
 use hemlocktack_protocol::{Answer, Outcome, Reason};
 
 /// Stands for the node's own function of this name.
-fn unknown(reason: Reason) -> Answer {
+fn unknown_answer(reason: Reason) -> Answer {
     Answer {
         outcome: Outcome::Unknown.into(),
         reason: reason.into(),
