--- a/crates/hemlocktack-fleet/src/membership/machine.rs
+++ b/crates/hemlocktack-fleet/src/membership/machine.rs
@@ -8,7 +8,7 @@
 };
 use rand::Rng;
 
-use super::news::News;
+use super::gossip_queue::News;
 use super::probes::Probes;
 use super::record;
 use super::settings::{MembershipSafeguard, MembershipSettings};
--- a/crates/hemlocktack-fleet/src/membership/mod.rs
+++ b/crates/hemlocktack-fleet/src/membership/mod.rs
@@ -2,8 +2,8 @@
 //! themselves by small probes, with no work that grows with the fleet.
 
 mod datagram;
+mod gossip_queue;
 mod machine;
-mod news;
 mod outgoing;
 mod probes;
 mod receive;
--- a/crates/hemlocktack-fleet/src/membership/outgoing.rs
+++ b/crates/hemlocktack-fleet/src/membership/outgoing.rs
@@ -5,8 +5,8 @@
 use hemlocktack_protocol::{Gossip, Member, gossip};
 use prost::Message;
 
+use super::gossip_queue::tellings_limit;
 use super::machine::{Membership, MembershipAction};
-use super::news::tellings_limit;
 use super::settings::MembershipSafeguard;
 
 impl Membership {
