--- a/crates/hemlocktack-config/src/diff.rs
+++ b/crates/hemlocktack-config/src/diff.rs
@@ -1,4 +1,4 @@
-//! What differs between two documents, as changes that people can review.
+//! Differences between two documents, as changes that people can review.
 
 use std::fmt::Display;
 
@@ -16,7 +16,7 @@
     ClassAdded {
         /// Its name.
         name: String,
-        /// Its place in the new list.
+        /// Its position in the new list.
         rank: usize,
     },
     /// A class that the new document does not have.
@@ -30,9 +30,9 @@
     ClassMoved {
         /// Its name.
         name: String,
-        /// Its place in the old list.
+        /// Its position in the old list.
         from: usize,
-        /// Its place in the new list.
+        /// Its position in the new list.
         to: usize,
     },
     /// A kind of caller that the old document did not have.
@@ -47,7 +47,7 @@
         /// Its name.
         name: String,
     },
-    /// Callers that name no kind count as another one.
+    /// Callers that name no kind now count as a different kind.
     #[display("default caller kind: {from} -> {to}")]
     DefaultCallerKindChanged {
         /// First kind of the old document.
@@ -87,16 +87,16 @@
         /// Path prefix of the rule.
         path_prefix: String,
     },
-    /// Rules that both documents have are tried in another order.
+    /// The rules that both documents contain are matched in another order.
     #[display("service {service}: rules reordered")]
     RulesReordered {
         /// Service of the rules.
         service: String,
     },
-    /// A field with another value.
+    /// A field with a different value.
     #[display("{place}: {from} -> {to}")]
     ValueChanged {
-        /// What the field belongs to, by names, and the field.
+        /// Path of the field: the names of what contains it, and its own name.
         place: String,
         /// Old value.
         from: String,
@@ -105,17 +105,23 @@
     },
 }
 
-/// All differences, in the order of the document.
+/// Returns all differences, in document order.
 pub fn diff(old: &Document, new: &Document) -> Vec<Change> {
     let mut changes = Vec::new();
-    limits(&old.limits, &new.limits, &mut changes);
-    classes(&old.classes, &new.classes, &mut changes);
-    caller_kinds(&old.caller_kinds, &new.caller_kinds, &mut changes);
-    services(&old.services, &new.services, &mut changes);
+    diff_limits(&old.limits, &new.limits, &mut changes);
+    diff_classes(&old.classes, &new.classes, &mut changes);
+    diff_caller_kinds(&old.caller_kinds, &new.caller_kinds, &mut changes);
+    diff_services(&old.services, &new.services, &mut changes);
     changes
 }
 
-fn value<T: Display + PartialEq>(place: &str, field: &str, from: T, to: T, out: &mut Vec<Change>) {
+fn push_if_changed<T: Display + PartialEq>(
+    place: &str,
+    field: &str,
+    from: T,
+    to: T,
+    out: &mut Vec<Change>,
+) {
     if from == to {
         return;
     }
@@ -126,7 +132,7 @@
     });
 }
 
-fn limits(old: &Limits, new: &Limits, out: &mut Vec<Change>) {
+fn diff_limits(old: &Limits, new: &Limits, out: &mut Vec<Change>) {
     const PLACE: &str = "limits";
     let pairs = [
         ("drain_limit_ms", old.drain_limit_ms, new.drain_limit_ms),
@@ -153,11 +159,11 @@
         ("quarantine_ms", old.quarantine_ms, new.quarantine_ms),
     ];
     for (field, from, to) in pairs {
-        value(PLACE, field, from, to, out);
+        push_if_changed(PLACE, field, from, to, out);
     }
 }
 
-fn classes(old: &[Class], new: &[Class], out: &mut Vec<Change>) {
+fn diff_classes(old: &[Class], new: &[Class], out: &mut Vec<Change>) {
     let rank = |list: &[Class], name: &str| list.iter().position(|class| class.name == name);
     for class in old {
         if rank(new, &class.name).is_none() {
@@ -175,7 +181,7 @@
     }
 }
 
-fn caller_kinds(old: &[CallerKind], new: &[CallerKind], out: &mut Vec<Change>) {
+fn diff_caller_kinds(old: &[CallerKind], new: &[CallerKind], out: &mut Vec<Change>) {
     for kind in old {
         if !new.iter().any(|other| other.name == kind.name) {
             let name = kind.name.clone();
@@ -189,14 +195,14 @@
             continue;
         };
         let place = format!("caller kind {}", kind.name);
-        value(
+        push_if_changed(
             &place,
             "patience_ms",
             before.patience_ms,
             kind.patience_ms,
             out,
         );
-        value(
+        push_if_changed(
             &place,
             "retry_allowance",
             before.retry_allowance,
@@ -214,7 +220,7 @@
     }
 }
 
-fn services(old: &[Service], new: &[Service], out: &mut Vec<Change>) {
+fn diff_services(old: &[Service], new: &[Service], out: &mut Vec<Change>) {
     for service in old {
         if !new.iter().any(|other| other.name == service.name) {
             let name = service.name.clone();
@@ -223,7 +229,7 @@
     }
     for service in new {
         match old.iter().find(|other| other.name == service.name) {
-            Some(before) => one_service(before, service, out),
+            Some(before) => diff_service(before, service, out),
             None => {
                 let name = service.name.clone();
                 out.push(Change::ServiceAdded { name });
@@ -232,7 +238,7 @@
     }
 }
 
-fn one_service(old: &Service, new: &Service, out: &mut Vec<Change>) {
+fn diff_service(old: &Service, new: &Service, out: &mut Vec<Change>) {
     let place = format!("service {}", new.name);
     let pairs = [
         (
@@ -252,12 +258,12 @@
         ),
     ];
     for (field, from, to) in pairs {
-        value(&place, field, from, to, out);
+        push_if_changed(&place, field, from, to, out);
     }
-    rules(old, new, out);
+    diff_rules(old, new, out);
 }
 
-fn rules(old: &Service, new: &Service, out: &mut Vec<Change>) {
+fn diff_rules(old: &Service, new: &Service, out: &mut Vec<Change>) {
     let service = &new.name;
     for rule in &old.requests {
         if same_rule(&new.requests, rule).is_none() {
@@ -278,8 +284,8 @@
             continue;
         };
         let place = format!("service {service}: {} {}", rule.method, rule.path_prefix);
-        value(&place, "class", &before.class, &rule.class, out);
-        value(
+        push_if_changed(&place, "class", &before.class, &rule.class, out);
+        push_if_changed(
             &place,
             "idempotent",
             before.idempotent,
--- a/crates/hemlocktack-config/src/document.rs
+++ b/crates/hemlocktack-config/src/document.rs
@@ -1,4 +1,4 @@
-//! The document as plain data.
+//! The configuration document as plain data types.
 
 use serde::Serialize;
 
@@ -9,22 +9,22 @@
 };
 use crate::routes::{self, ClientLimits, Route};
 
-/// One configuration: everything that operators declare.
+/// A complete configuration, as the operators declare it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Document {
     /// Limits that hold for every node.
     pub limits: Limits,
-    /// Most important first: the last one is shed first.
+    /// Request classes, most important first: the last one is shed first.
     pub classes: Vec<Class>,
-    /// Kinds of caller; the first one stands for callers that name none.
+    /// Kinds of caller; the first one is the default for callers that name none.
     pub caller_kinds: Vec<CallerKind>,
     /// Services of the call graph.
     pub services: Vec<Service>,
-    /// Routes of deployments whose callers name no service. They come from the
-    /// deployment's own configuration; the text of this format has none.
+    /// Routes, for deployments whose callers name no service. They come from the
+    /// deployment's own configuration format; the TOML format has none.
     #[serde(skip)]
     pub routes: Vec<Route>,
-    /// What callers may send, where the deployment says so.
+    /// Limits on callers' requests, if the deployment configures them.
     #[serde(skip)]
     pub client_limits: ClientLimits,
 }
@@ -34,71 +34,72 @@
 pub struct Limits {
     /// How long a draining node waits for the calls in flight.
     pub drain_limit_ms: u64,
-    /// Memory of a node for answers to requests that ran at most once.
+    /// Memory per node for stored answers to requests that run at most once.
     pub kept_answers_bytes: u64,
-    /// Requests of a million that are traced.
+    /// Number of requests per million that are traced.
     pub trace_sample_per_million: u32,
-    /// Retries to one service as a share of first tries.
+    /// Retries to one service, as a percentage of first attempts.
     pub retry_share_percent: u32,
-    /// Crashes of upstreams after which a request is quarantined.
+    /// Number of upstream crashes after which a request is quarantined.
     pub quarantine_crashes: u32,
     /// How long a request stays quarantined.
     pub quarantine_ms: u64,
 }
 
-/// Requests that matter equally.
+/// A class of equally important requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Class {
-    /// Name that request rules refer to.
+    /// Name by which request rules refer to the class.
     pub name: String,
 }
 
-/// How patient a kind of caller is.
+/// A kind of caller: how long it waits and how much it may retry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct CallerKind {
     /// Value of the caller's `hemlocktack-caller-kind` header.
     pub name: String,
     /// How long such a caller waits for an answer.
     pub patience_ms: u64,
-    /// Retries that one of its requests may use in the whole call chain.
+    /// Number of retries that one of its requests may use in the whole call chain.
     pub retry_allowance: u32,
 }
 
-/// One service and what may be asked of it.
+/// A service, its limits and its request rules.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Service {
-    /// First part of the path that callers use.
+    /// Name of the service: the first segment of the path that callers use.
     pub name: String,
-    /// Largest request body taken.
+    /// Largest request body accepted.
     pub body_limit_bytes: usize,
-    /// Largest answer passed on.
+    /// Largest answer forwarded.
     pub answer_limit_bytes: usize,
-    /// Calls that may wait at one node for its upstream.
+    /// Maximum number of calls queued at one node for its upstream.
     pub queue_limit_calls: usize,
-    /// First match decides. What no rule matches is of the last class and may not be repeated.
+    /// Rules for its requests; the first match applies. A request that matches none belongs to
+    /// the last class and is not idempotent.
     pub requests: Vec<RequestRule>,
-    /// Where an upstream of it is asked for its health, if not at the usual place.
+    /// Health check path of its upstreams; `None` for the default path.
     #[serde(skip)]
     pub health_path: Option<String>,
-    /// Connections that one upstream of it accepts, where the operators say so.
+    /// Number of connections that one of its upstreams accepts, if the operators limit them.
     #[serde(skip)]
     pub connection_limit: Option<u32>,
 }
 
-/// What holds for the requests that it matches.
+/// Properties of the requests that match a method and a path prefix.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct RequestRule {
     /// HTTP method; `*` for any.
     pub method: String,
-    /// Beginning of the path below the service; `/` for all.
+    /// Prefix of the path below the service; `/` matches every path.
     pub path_prefix: String,
-    /// Name of one of the classes.
+    /// Name of the class that the requests belong to.
     pub class: String,
     /// Whether such a request may run more than once.
     pub idempotent: bool,
 }
 
-/// Method of a rule that matches every method.
+/// Value of [`RequestRule::method`] that matches every method.
 pub const ANY_METHOD: &str = "*";
 
 impl Default for Limits {
@@ -114,32 +115,30 @@
     }
 }
 
-/// Value of a field that the document is silent about, or the least one where
-/// it has to say one.
+/// Returns the default of a field, or its minimum if the field is required.
 fn default_of(bound: Bound) -> u64 {
-    bound.default.unwrap_or(bound.least)
+    bound.default.unwrap_or(bound.min)
 }
 
 impl Document {
-    /// Place of a class in the list of classes.
+    /// Returns the position of a class in the list of classes.
     pub fn class_rank(&self, class: &str) -> Option<usize> {
         self.classes
             .iter()
             .position(|candidate| candidate.name == class)
     }
 
-    /// The service of that name.
+    /// Returns the service with this name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| service.name == name)
     }
 
-    /// The route that a request takes: that with the longest prefix among those
-    /// of its host.
+    /// Returns the route of a request: the one for its host with the longest matching prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         routes::find(&self.routes, host, path)
     }
 
-    /// The caller kind of that name, or the first one for callers that name none.
+    /// Returns the caller kind with this name, or the first one for callers that name none.
     pub fn caller_kind(&self, name: Option<&str>) -> Option<&CallerKind> {
         let Some(name) = name else {
             return self.caller_kinds.first();
@@ -149,7 +148,7 @@
 }
 
 impl Service {
-    /// A service with default limits and no rules.
+    /// Creates a service with default limits and no rules.
     pub fn new(name: impl Into<String>) -> Self {
         Service {
             name: name.into(),
@@ -162,7 +161,7 @@
         }
     }
 
-    /// First rule that matches the method and the path below the service.
+    /// Returns the first rule that matches the method and the path below the service.
     pub fn rule(&self, method: &str, path: &str) -> Option<&RequestRule> {
         self.requests.iter().find(|rule| rule.matches(method, path))
     }
@@ -174,7 +173,7 @@
         method_matches && path.starts_with(&self.path_prefix)
     }
 
-    /// Whether every request that `other` matches is matched by this rule too.
+    /// Returns whether this rule matches every request that `other` matches.
     pub(crate) fn covers(&self, other: &RequestRule) -> bool {
         let method_covers =
             self.method == ANY_METHOD || self.method.eq_ignore_ascii_case(&other.method);
--- a/crates/hemlocktack-config/src/lib.rs
+++ b/crates/hemlocktack-config/src/lib.rs
@@ -6,11 +6,11 @@
 mod check;
 mod diff;
 mod document;
-mod entry;
 mod parse;
 mod places;
 mod read;
 mod routes;
+mod table_reader;
 
 pub use bounds::{
     ATTEMPT_LIMIT, BOUNDS, Bound, CALLER_KIND_LIMIT, CLASS_LIMIT, CLIENT_BODY_LIMIT_BYTES,
--- a/crates/hemlocktack-config/src/parse.rs
+++ b/crates/hemlocktack-config/src/parse.rs
@@ -1,45 +1,45 @@
-//! From text to a checked document, or to all findings at once.
+//! Parses and checks the text of a document; reports all findings at once.
 
 use derive_more::{Display, Error};
 use hemlocktack_protocol::Finding;
 use toml::de::DeTable;
 
 use crate::bounds::DOCUMENT_LIMIT_BYTES;
-use crate::entry::Reading;
 use crate::places;
+use crate::table_reader::ParseState;
 use crate::{Document, check, read};
 
 /// Result of reading a document.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// A document that cannot be taken, with everything found wrong.
+/// An invalid document, with all findings.
 #[derive(Clone, Debug, Display, Error)]
 #[display("the configuration has {} findings", findings.len())]
 pub struct Error {
-    /// Each with its place.
+    /// The findings, ordered by line.
     pub findings: Vec<Finding>,
 }
 
-/// Reads and checks a document.
+/// Parses and checks a document.
 ///
 /// # Errors
-/// All findings, each with its place; nothing is taken then.
+/// Returns all findings, each with its place, if there are any.
 pub fn parse(text: &str) -> Result<Document> {
-    let mut reading = Reading::new(text);
-    check_size(text, &mut reading);
-    reading.end_if_faulty()?;
+    let mut state = ParseState::new(text);
+    check_size(text, &mut state);
+    state.fail_on_findings()?;
     let (table, faults) = DeTable::parse_recoverable(text);
-    add_syntax_faults(&faults, &mut reading);
-    reading.end_if_faulty()?;
-    let document = read::document(table.get_ref(), &mut reading);
+    add_syntax_findings(&faults, &mut state);
+    state.fail_on_findings()?;
+    let document = read::document(table.get_ref(), &mut state);
     let relations = check::document(&document);
-    add_relations(relations, &mut reading);
-    reading.end_if_faulty()?;
+    add_check_findings(relations, &mut state);
+    state.fail_on_findings()?;
     Ok(document)
 }
 
-impl Reading {
-    fn end_if_faulty(&mut self) -> Result<()> {
+impl ParseState {
+    fn fail_on_findings(&mut self) -> Result<()> {
         if self.findings.is_empty() {
             return Ok(());
         }
@@ -49,45 +49,45 @@
     }
 }
 
-fn check_size(text: &str, reading: &mut Reading) {
+fn check_size(text: &str, state: &mut ParseState) {
     if text.len() <= DOCUMENT_LIMIT_BYTES {
         return;
     }
-    let label = format!("the document has {} bytes", text.len());
-    let help = format!("keep it to {DOCUMENT_LIMIT_BYTES}");
-    reading.add("", label, help);
+    let label = format!("the document is {} bytes long", text.len());
+    let help = format!("the maximum is {DOCUMENT_LIMIT_BYTES}");
+    state.add("", label, help);
 }
 
-/// Faults of the notation itself. What stands around them cannot be trusted,
-/// so that nothing else is checked until they are mended.
-fn add_syntax_faults(faults: &[toml::de::Error], reading: &mut Reading) {
+/// Adds the TOML syntax errors. The text around them cannot be interpreted reliably, so nothing
+/// else is checked until they are fixed.
+fn add_syntax_findings(faults: &[toml::de::Error], state: &mut ParseState) {
     for fault in faults {
         let line = fault
             .span()
-            .map_or(0, |span| reading.places.line_of_offset(span.start));
-        reading.findings.push(Finding {
+            .map_or(0, |span| state.places.line_of_offset(span.start));
+        state.findings.push(Finding {
             place: String::new(),
             line,
             label: fault.message().to_owned(),
-            help: "mend the notation (TOML); the rest is checked after that".to_owned(),
+            help: "fix the TOML syntax; everything else is checked after that".to_owned(),
         });
     }
 }
 
-/// Adds what the check of relations found, but for places that could not be
-/// read: their stand-in value would be reported a second time.
-fn add_relations(relations: Vec<Finding>, reading: &mut Reading) {
-    let unread = reading
+/// Adds the findings of the checks between fields, except those at places that could not be read:
+/// their placeholder values would be reported a second time.
+fn add_check_findings(relations: Vec<Finding>, state: &mut ParseState) {
+    let unreadable = state
         .findings
         .iter()
         .map(|finding| finding.place.clone())
         .collect::<Vec<_>>();
     for mut finding in relations {
-        let is_unread = |place: &String| places::is_within(&finding.place, place);
-        if unread.iter().any(is_unread) {
+        let is_unreadable = |place: &String| places::is_within(&finding.place, place);
+        if unreadable.iter().any(is_unreadable) {
             continue;
         }
-        finding.line = reading.places.line(&finding.place);
-        reading.findings.push(finding);
+        finding.line = state.places.line(&finding.place);
+        state.findings.push(finding);
     }
 }
--- a/crates/hemlocktack-config/src/places.rs
+++ b/crates/hemlocktack-config/src/places.rs
@@ -1,9 +1,9 @@
-//! Places in a document: paths of fields and the lines they stand on.
+//! Places in a document: the paths of fields and their line numbers.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// From byte offsets to line numbers.
+/// Maps byte offsets to line numbers.
 pub(crate) struct LineIndex {
     starts: Vec<usize>,
 }
@@ -16,14 +16,14 @@
         }
     }
 
-    /// Line of an offset, counted from 1.
+    /// Returns the line of an offset, counted from 1.
     pub(crate) fn line(&self, offset: usize) -> u32 {
         let line = self.starts.partition_point(|start| *start <= offset);
         u32::try_from(line).unwrap_or(u32::MAX)
     }
 }
 
-/// Lines of the places met while a document was read.
+/// Line numbers of the places recorded while a document is read.
 pub(crate) struct Places {
     index: LineIndex,
     lines: BTreeMap<String, u32>,
@@ -46,8 +46,8 @@
         self.index.line(offset)
     }
 
-    /// Line of a place, or of the nearest place around it; 0 for the whole
-    /// document.
+    /// Returns the line of a place, or of the nearest recorded place that contains it; 0 for the
+    /// whole document.
     pub(crate) fn line(&self, place: &str) -> u32 {
         let mut place = place;
         loop {
@@ -62,7 +62,7 @@
     }
 }
 
-/// Place of a field below another place.
+/// Returns the place of a field within another place.
 pub(crate) fn field(parent: &str, name: &str) -> String {
     if parent.is_empty() {
         return name.to_owned();
@@ -70,12 +70,12 @@
     format!("{parent}.{name}")
 }
 
-/// Place of an element of a list.
+/// Returns the place of an element of a list.
 pub(crate) fn element(list: &str, position: usize) -> String {
     format!("{list}[{position}]")
 }
 
-/// A place as table headers spell it.
+/// Returns a place in the form of a TOML table header, without element positions.
 pub(crate) fn without_positions(place: &str) -> String {
     let parts = place.split('.').map(|part| match part.split_once('[') {
         Some((name, _)) => name,
@@ -84,8 +84,8 @@
     parts.collect::<Vec<_>>().join(".")
 }
 
-/// Whether `place` is `around` or lies within it; nothing is taken to lie
-/// within the whole document.
+/// Returns whether `place` is `around` or lies within it; always false if `around` is the whole
+/// document.
 pub(crate) fn is_within(place: &str, around: &str) -> bool {
     if around.is_empty() {
         return false;
--- a/crates/hemlocktack-config/src/read.rs
+++ b/crates/hemlocktack-config/src/read.rs
@@ -1,4 +1,4 @@
-//! From the tables of a document to its plain data.
+//! Converts the tables of a document to its plain data types.
 
 use toml::de::DeTable;
 
@@ -7,73 +7,73 @@
     QUARANTINE_CRASHES, QUARANTINE_MS, QUEUE_LIMIT_CALLS, RETRY_ALLOWANCE, RETRY_SHARE_PERCENT,
     TRACE_SAMPLE_PER_MILLION,
 };
-use crate::entry::{Entry, Reading};
+use crate::table_reader::{ParseState, TableReader};
 use crate::{CallerKind, Class, Document, Limits, RequestRule, Service};
 
-/// Reads what can be read and leaves a finding for the rest.
-pub(crate) fn document(table: &DeTable<'_>, reading: &mut Reading) -> Document {
-    let mut entry = Entry::new(String::new(), table, reading);
+/// Reads every valid field and adds a finding for each of the others.
+pub(crate) fn document(table: &DeTable<'_>, state: &mut ParseState) -> Document {
+    let mut reader = TableReader::new(String::new(), table, state);
     let document = Document {
-        limits: entry.table("limits", reading, limits).unwrap_or_default(),
-        classes: entry.list("classes", reading, class),
-        caller_kinds: entry.list("caller_kinds", reading, caller_kind),
-        services: entry.list("services", reading, service),
+        limits: reader.table("limits", state, limits).unwrap_or_default(),
+        classes: reader.list("classes", state, class),
+        caller_kinds: reader.list("caller_kinds", state, caller_kind),
+        services: reader.list("services", state, service),
         ..Document::default()
     };
-    entry.finish(reading);
+    reader.finish(state);
     document
 }
 
-fn limits(mut entry: Entry<'_, '_>, reading: &mut Reading) -> Limits {
+fn limits(mut reader: TableReader<'_, '_>, state: &mut ParseState) -> Limits {
     let limits = Limits {
-        drain_limit_ms: entry.number(DRAIN_LIMIT_MS, reading),
-        kept_answers_bytes: entry.number(KEPT_ANSWERS_BYTES, reading),
-        trace_sample_per_million: entry.number(TRACE_SAMPLE_PER_MILLION, reading) as u32,
-        retry_share_percent: entry.number(RETRY_SHARE_PERCENT, reading) as u32,
-        quarantine_crashes: entry.number(QUARANTINE_CRASHES, reading) as u32,
-        quarantine_ms: entry.number(QUARANTINE_MS, reading),
+        drain_limit_ms: reader.integer(DRAIN_LIMIT_MS, state),
+        kept_answers_bytes: reader.integer(KEPT_ANSWERS_BYTES, state),
+        trace_sample_per_million: reader.integer(TRACE_SAMPLE_PER_MILLION, state) as u32,
+        retry_share_percent: reader.integer(RETRY_SHARE_PERCENT, state) as u32,
+        quarantine_crashes: reader.integer(QUARANTINE_CRASHES, state) as u32,
+        quarantine_ms: reader.integer(QUARANTINE_MS, state),
     };
-    entry.finish(reading);
+    reader.finish(state);
     limits
 }
 
-fn class(mut entry: Entry<'_, '_>, reading: &mut Reading) -> Class {
+fn class(mut reader: TableReader<'_, '_>, state: &mut ParseState) -> Class {
     let class = Class {
-        name: entry.text("name", reading),
+        name: reader.string("name", state),
     };
-    entry.finish(reading);
+    reader.finish(state);
     class
 }
 
-fn caller_kind(mut entry: Entry<'_, '_>, reading: &mut Reading) -> CallerKind {
+fn caller_kind(mut reader: TableReader<'_, '_>, state: &mut ParseState) -> CallerKind {
     let kind = CallerKind {
-        name: entry.text("name", reading),
-        patience_ms: entry.number(PATIENCE_MS, reading),
-        retry_allowance: entry.number(RETRY_ALLOWANCE, reading) as u32,
+        name: reader.string("name", state),
+        patience_ms: reader.integer(PATIENCE_MS, state),
+        retry_allowance: reader.integer(RETRY_ALLOWANCE, state) as u32,
     };
-    entry.finish(reading);
+    reader.finish(state);
     kind
 }
 
-fn service(mut entry: Entry<'_, '_>, reading: &mut Reading) -> Service {
+fn service(mut reader: TableReader<'_, '_>, state: &mut ParseState) -> Service {
     let service = Service {
-        body_limit_bytes: entry.number(BODY_LIMIT_BYTES, reading) as usize,
-        answer_limit_bytes: entry.number(ANSWER_LIMIT_BYTES, reading) as usize,
-        queue_limit_calls: entry.number(QUEUE_LIMIT_CALLS, reading) as usize,
-        requests: entry.list("requests", reading, request_rule),
-        ..Service::new(entry.text("name", reading))
+        body_limit_bytes: reader.integer(BODY_LIMIT_BYTES, state) as usize,
+        answer_limit_bytes: reader.integer(ANSWER_LIMIT_BYTES, state) as usize,
+        queue_limit_calls: reader.integer(QUEUE_LIMIT_CALLS, state) as usize,
+        requests: reader.list("requests", state, request_rule),
+        ..Service::new(reader.string("name", state))
     };
-    entry.finish(reading);
+    reader.finish(state);
     service
 }
 
-fn request_rule(mut entry: Entry<'_, '_>, reading: &mut Reading) -> RequestRule {
+fn request_rule(mut reader: TableReader<'_, '_>, state: &mut ParseState) -> RequestRule {
     let rule = RequestRule {
-        method: entry.text("method", reading),
-        path_prefix: entry.text("path_prefix", reading),
-        class: entry.text("class", reading),
-        idempotent: entry.flag("idempotent", reading),
+        method: reader.string("method", state),
+        path_prefix: reader.string("path_prefix", state),
+        class: reader.string("class", state),
+        idempotent: reader.boolean("idempotent", state),
     };
-    entry.finish(reading);
+    reader.finish(state);
     rule
 }
--- a/crates/hemlocktack-config/src/routes.rs
+++ b/crates/hemlocktack-config/src/routes.rs
@@ -4,26 +4,26 @@
 
 use serde::Serialize;
 
-/// Where requests go that match a host and the beginning of a path.
+/// Routes requests that match a host and a path prefix to services.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Route {
-    /// Name that operators know it by.
+    /// Name that the operators gave the route.
     pub name: String,
-    /// Host that requests are addressed to, in lower case.
+    /// Host of the requests, in lower case.
     pub host: String,
-    /// Beginning of the path; begins and ends with a slash.
+    /// Prefix of the path; begins and ends with a slash.
     pub path_prefix: String,
     /// Whether such a request may run more than once.
     pub idempotent: bool,
-    /// Longest that a request is kept waiting; `None`: as long as its caller waits.
+    /// Maximum time that a request is kept waiting; `None` for as long as its caller waits.
     pub timeout_ms: Option<u64>,
-    /// Time within which an answer is worth most to the caller.
+    /// Latency objective: time within which an answer is worth most to the caller.
     pub target_latency_ms: Option<u64>,
-    /// Rank of its requests, 0 is the most important; `None`: below all others.
+    /// Priority of its requests, 0 is the most important; `None` ranks below all others.
     pub priority: Option<u32>,
-    /// Upstreams that one request may be sent to.
+    /// Maximum number of upstreams that one request is sent to.
     pub attempts: u32,
-    /// Services that share its requests.
+    /// Services that its requests are split between.
     pub targets: Vec<RouteTarget>,
 }
 
@@ -32,25 +32,25 @@
 pub struct RouteTarget {
     /// Name of the service.
     pub service: String,
-    /// Share of the requests, against the sum of all weights of the route.
+    /// Share of the requests, relative to the sum of all weights of the route.
     pub weight: u32,
 }
 
-/// What callers may send and how long they may take.
+/// Size and time limits on callers' requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct ClientLimits {
-    /// Largest head of a request.
+    /// Maximum size of a request head.
     pub header_limit_bytes: usize,
-    /// Largest body of a request.
+    /// Maximum size of a request body.
     pub body_limit_bytes: usize,
-    /// Longest that a head may take to arrive.
+    /// Maximum time for a request head to arrive.
     pub header_timeout_ms: u64,
-    /// Longest that a kept connection may carry no request.
+    /// Maximum time that a keep-alive connection may be idle.
     pub idle_timeout_ms: u64,
 }
 
 impl Default for ClientLimits {
-    /// The usual limits of HTTP servers, for as long as no configuration says others.
+    /// Returns usual limits of HTTP servers, used until a configuration sets others.
     fn default() -> Self {
         ClientLimits {
             header_limit_bytes: 16 << 10,
@@ -62,35 +62,35 @@
 }
 
 impl ClientLimits {
-    /// Longest that a head may take to arrive.
+    /// Maximum time for a request head to arrive.
     pub fn header_timeout(&self) -> Duration {
         Duration::from_millis(self.header_timeout_ms)
     }
 
-    /// Longest that a kept connection may carry no request.
+    /// Maximum time that a keep-alive connection may be idle.
     pub fn idle_timeout(&self) -> Duration {
         Duration::from_millis(self.idle_timeout_ms)
     }
 }
 
 impl Route {
-    /// Whether it takes a request, by the host in lower case and the path
-    /// without its query.
-    fn takes(&self, host: &str, path: &str) -> bool {
+    /// Returns whether the route applies to a request with this lower-case host and this path
+    /// without query.
+    fn matches(&self, host: &str, path: &str) -> bool {
         self.host == host && path.starts_with(&self.path_prefix)
     }
 
-    /// The service that gets a request, by a number drawn evenly from 0 to 1.
-    pub fn pick_target(&self, drawn: f64) -> Option<&RouteTarget> {
+    /// Picks the service of a request by weight; `random` is uniform in 0..1.
+    pub fn pick_target(&self, random: f64) -> Option<&RouteTarget> {
         let total: f64 = self
             .targets
             .iter()
             .map(|target| f64::from(target.weight))
             .sum();
-        let mut left = drawn * total;
-        let weighed = self.targets.iter().filter(|target| target.weight > 0);
+        let mut left = random * total;
+        let candidates = self.targets.iter().filter(|target| target.weight > 0);
         let mut last = None;
-        for target in weighed {
+        for target in candidates {
             last = Some(target);
             left -= f64::from(target.weight);
             if left < 0.0 {
@@ -101,10 +101,10 @@
     }
 }
 
-/// The route with the longest prefix that takes the request.
+/// Returns the matching route with the longest prefix.
 pub(crate) fn find<'a>(routes: &'a [Route], host: &str, path: &str) -> Option<&'a Route> {
     routes
         .iter()
-        .filter(|route| route.takes(host, path))
+        .filter(|route| route.matches(host, path))
         .max_by_key(|route| route.path_prefix.len())
 }
--- a/crates/hemlocktack-config/tests/diff.rs
+++ b/crates/hemlocktack-config/tests/diff.rs
@@ -1,4 +1,4 @@
-//! Differences between documents, as people read them.
+//! Differences between documents and their text.
 #![allow(clippy::unwrap_used)]
 
 use hemlocktack_config::{Document, diff, parse};
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn each_kind_of_change_is_told() {
+fn each_kind_of_change_is_reported() {
     let old = parse(BHADRALOK).unwrap();
     let mut new = old.clone();
     new.limits.retry_share_percent = 5;
--- a/crates/hemlocktack-config/tests/examples.rs
+++ b/crates/hemlocktack-config/tests/examples.rs
@@ -7,7 +7,7 @@
 const PASES_DORADOS: &str = include_str!("../../../docs/examples/pases-dorados.toml");
 const PAGE: &str = include_str!("../../../docs/CONFIGURATION.md");
 
-/// Rank and idempotency of one request.
+/// Returns the class rank and the idempotency of one request.
 fn request(document: &Document, service: &str, method: &str, path: &str) -> (usize, bool) {
     let rule = document.service(service).unwrap().rule(method, path);
     let rule = rule.unwrap();
@@ -66,7 +66,7 @@
             .lines()
             .find(|line| line.starts_with(&format!("| `{}` |", bound.field)))
             .unwrap_or_else(|| panic!("{} is not on the page", bound.field));
-        let limits = format!("| {default} | {} | {} |", bound.least, bound.greatest);
+        let limits = format!("| {default} | {} | {} |", bound.min, bound.max);
         assert!(row.contains(&limits), "{row}\nlacks {limits}");
     }
 }
--- a/crates/hemlocktack-config/tests/findings.rs
+++ b/crates/hemlocktack-config/tests/findings.rs
@@ -1,4 +1,4 @@
-//! Every kind of finding, all of a document reported together.
+//! Every kind of finding; all findings of a document are reported together.
 #![allow(clippy::unwrap_used)]
 
 use std::fmt::Write;
@@ -39,15 +39,14 @@
 }
 
 #[test]
-fn faults_of_the_notation_are_reported_together_and_alone() {
+fn syntax_errors_are_reported_together_and_alone() {
     insta::assert_snapshot!(report(
         "classes = [\n[[services]\nname = 'open\nname = 1 2\n"
     ));
 }
 
-/// The operators declare a caller more patient than their drain limit. A planned
-/// stop would then end before that caller's call does: the call is cut off and its
-/// caller sees an unknown outcome. The document is refused instead.
+/// Guards against a drain limit shorter than a declared caller's patience: a planned stop would cut
+/// off that caller's calls, and it would see unknown outcomes. Such a document is rejected.
 #[test]
 fn a_drain_shorter_than_the_longest_patience_is_a_finding() {
     let text = include_str!("../../../docs/examples/bhadralok.toml");
--- a/crates/hemlocktack-config/tests/properties.rs
+++ b/crates/hemlocktack-config/tests/properties.rs
@@ -1,6 +1,6 @@
-//! Properties over random texts and documents.
+//! Property tests over random texts and documents.
 //!
-//! `PROPTEST_CASES=1000000` runs as many cases of each.
+//! `PROPTEST_CASES=1000000` runs that many cases of each property.
 #![allow(clippy::unwrap_used)]
 
 use hemlocktack_config::{
@@ -13,13 +13,13 @@
 
 const BHADRALOK: &str = include_str!("../../../docs/examples/bhadralok.toml");
 
-/// Cases of each property, or more where `PROPTEST_CASES` says so.
-const CASES_LEAST: u32 = 512;
+/// Minimum number of cases per property; `PROPTEST_CASES` can raise it.
+const MIN_CASES: u32 = 512;
 
 fn config() -> ProptestConfig {
     let from_environment = ProptestConfig::default();
     ProptestConfig {
-        cases: from_environment.cases.max(CASES_LEAST),
+        cases: from_environment.cases.max(MIN_CASES),
         rng_seed: proptest::test_runner::RngSeed::Fixed(20),
         failure_persistence: None,
         ..from_environment
@@ -71,7 +71,7 @@
     }
 }
 
-/// Values that stand where another kind is due, or at the edge of their own.
+/// Generates values of an unexpected type, or at the limits of the expected one.
 fn odd_value() -> impl Strategy<Value = String> {
     prop_oneof![
         any::<i64>().prop_map(|number| number.to_string()),
@@ -91,8 +91,8 @@
     ]
 }
 
-/// The example with the values of some lines replaced, or the lines gone or doubled.
-fn nearly_right() -> impl Strategy<Value = String> {
+/// Generates the example with the values of some lines replaced, or with lines removed or doubled.
+fn nearly_valid() -> impl Strategy<Value = String> {
     let changes = vec((any::<Index>(), 0..4_u8, odd_value()), 1..4);
     changes.prop_map(|changes| {
         let mut lines: Vec<String> = BHADRALOK.lines().map(str::to_owned).collect();
@@ -109,11 +109,11 @@
     })
 }
 
-/// Whether each number and each list is within what a node is built for.
+/// Returns whether each integer and each list is within its limit.
 fn is_bounded(document: &Document) -> bool {
     let is_within = |field: &str, value: u64| {
         let bound = BOUNDS.iter().find(|bound| bound.field == field).unwrap();
-        (bound.least..=bound.greatest).contains(&value)
+        (bound.min..=bound.max).contains(&value)
     };
     let limits = &document.limits;
     let of_service = |service: &Service| {
@@ -137,10 +137,10 @@
         && document.caller_kinds.iter().all(of_kind)
 }
 
-/// Brackets, tables and dots by the hundred thousand, as no editor writes them: a
-/// reader that calls itself for each ends the process, and no test can catch that.
+/// Guards against a parser that recurses for each of a hundred thousand brackets, tables or dots:
+/// the stack overflow would abort the process, and no test could catch it.
 #[test]
-fn deep_documents_are_refused() {
+fn deep_documents_are_rejected() {
     const DEPTH: usize = 100_000;
     for text in [
         format!("a = {}", "[".repeat(DEPTH)),
@@ -157,7 +157,7 @@
     #![proptest_config(config())]
 
     #[test]
-    fn nearly_right_documents_are_taken_within_their_bounds_or_refused(text in nearly_right()) {
+    fn nearly_valid_documents_are_accepted_within_their_bounds_or_rejected(text in nearly_valid()) {
         match parse(&text) {
             Ok(document) => prop_assert!(is_bounded(&document), "{document:?}"),
             Err(error) => prop_assert!(!error.findings.is_empty()),
