--- a/crates/hemlocktack-node/src/operators/authorise.rs
+++ b/crates/hemlocktack-node/src/operators/authorise.rs
@@ -1,4 +1,4 @@
-//! Only operators may call.
+//! Authorises operators' requests by their bearer token.
 
 use std::hint::black_box;
 
@@ -10,10 +10,10 @@
 use crate::settings::AdjustableSettings;
 
 const SCHEME: &str = "Bearer ";
-/// Checks the token of a call before its body is read.
+/// Checks the token of a request before its body is read.
 pub(super) fn authorise(node: &Node, header: Option<&str>, method: &str) -> Result<()> {
     let token = header.and_then(|header| header.strip_prefix(SCHEME));
-    if token.is_some_and(|token| is_operators_token(&node.adjustable(), token)) {
+    if token.is_some_and(|token| is_valid_token(&node.adjustable(), token)) {
         return Ok(());
     }
     if let Some(refused_count) = node.operator_refusals.record() {
@@ -22,19 +22,19 @@
     }
     Err(Failure::new(
         OperatorErrorCode::Unauthorized,
-        "the call does not carry the operators' token",
+        "the request does not carry a valid operator token",
     ))
 }
 
-fn is_operators_token(settings: &AdjustableSettings, token: &str) -> bool {
+fn is_valid_token(settings: &AdjustableSettings, token: &str) -> bool {
     let is_current = is_equal(token, &settings.operator_token);
     let previous = settings.previous_operator_token.as_deref();
     let is_previous = previous.is_some_and(|previous| is_equal(token, previous));
     is_current | is_previous
 }
 
-/// Takes as long for a token that differs early as for one that differs late:
-/// otherwise the answer times would tell a token character by character.
+/// Compares two tokens in constant time. Otherwise response times would reveal a token
+/// character by character.
 fn is_equal(given: &str, expected: &str) -> bool {
     if given.len() != expected.len() {
         return false;
--- a/crates/hemlocktack-node/src/operators/body.rs
+++ b/crates/hemlocktack-node/src/operators/body.rs
@@ -1,4 +1,4 @@
-//! Bodies as protobuf or JSON.
+//! Request and response bodies as protobuf or JSON.
 
 use hemlocktack_protocol::OperatorErrorCode;
 use prost::Message;
@@ -9,10 +9,10 @@
 
 use super::{Failure, Result};
 
-/// Four documents of the largest size: JSON may double what it escapes.
+/// Four times the largest document, because escaping in JSON can double its size.
 const BODY_LIMIT_BYTES: usize = 4 * hemlocktack_config::DOCUMENT_LIMIT_BYTES;
 
-/// How a call's bodies are written.
+/// Encoding of the bodies of a request and its response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Encoding {
     Protobuf,
@@ -20,7 +20,7 @@
 }
 
 impl Encoding {
-    /// Of the request's content type.
+    /// Returns the encoding for the request's content type.
     pub(super) fn of(content_type: Option<&ContentType>) -> Result<Self> {
         let content_type = content_type.map(|content_type| content_type.media_type());
         let is = |top: &str, sub: &str| {
@@ -47,7 +47,7 @@
 
     pub(super) fn decode<T: Message + Default + DeserializeOwned>(self, body: &[u8]) -> Result<T> {
         let malformed = |cause: String| {
-            let message = format!("the body is not the request of this call: {cause}");
+            let message = format!("the body is not a valid request of this method: {cause}");
             Failure::new(OperatorErrorCode::MalformedRequest, message)
         };
         match self {
@@ -61,13 +61,13 @@
     pub(super) fn encode<T: Message + Serialize>(self, message: &T) -> Vec<u8> {
         match self {
             Encoding::Protobuf => message.encode_to_vec(),
-            // Messages of the schema have string keys only and cannot fail.
+            // Cannot fail: maps in messages of the schema have string keys only.
             Encoding::Json => serde_json::to_vec(message).unwrap_or_default(),
         }
     }
 }
 
-/// Reads a whole body within the limit.
+/// Reads a whole body, up to the size limit.
 pub(super) async fn read(data: Data<'_>) -> Result<Vec<u8>> {
     let body = data.open(BODY_LIMIT_BYTES.bytes()).into_bytes().await;
     let body = body.map_err(|error| {
--- a/crates/hemlocktack-node/src/operators/commands/apply_configuration.rs
+++ b/crates/hemlocktack-node/src/operators/commands/apply_configuration.rs
@@ -1,4 +1,4 @@
-//! `ApplyConfiguration`: store a document as the next generation.
+//! `ApplyConfiguration`: stores a document as the next generation.
 
 use hemlocktack_platform::{Applied, Change, ConfigurationStore};
 use hemlocktack_protocol::{
@@ -10,11 +10,11 @@
 use crate::node::Node;
 use crate::operators::{Failure, Result};
 
-/// Change ids and authors are stored with each generation and shown to people.
+/// Limit of change ids and authors, which are stored with each generation and displayed.
 const NAME_LIMIT_CHARACTERS: usize = 128;
 
-/// Accepted means stored: success is answered only to what the platform has
-/// confirmed, or to a repeat that is found stored.
+/// Stores the document. Success is returned only once the platform has confirmed the write,
+/// or if a repeated request finds its document already stored.
 pub(in crate::operators) async fn run(
     node: &Node,
     request: ApplyConfigurationRequest,
@@ -31,7 +31,7 @@
     let store = ConfigurationStore::new(node.platform.clone());
     let applied = store.apply(&change).await;
     let response = answer(
-        applied.map_err(|error| Failure::of_platform(&error))?,
+        applied.map_err(|error| Failure::from_platform(&error))?,
         &change,
     )?;
     node.send_configuration_event(configuration::Event::StoredLocally(ConfigurationDocument {
@@ -56,7 +56,7 @@
     if (1..=NAME_LIMIT_CHARACTERS).contains(&length) && is_printable {
         return Ok(());
     }
-    let message = format!("{field} needs 1 to {NAME_LIMIT_CHARACTERS} printable characters");
+    let message = format!("{field} must have 1 to {NAME_LIMIT_CHARACTERS} printable characters");
     Err(Failure::new(OperatorErrorCode::MalformedRequest, message))
 }
 
@@ -81,7 +81,7 @@
         }),
         Applied::GenerationConflict { current_generation } => {
             let message = format!(
-                "generation {} was expected and {current_generation} is stored",
+                "generation {} was expected, but {current_generation} is stored",
                 change.expected_generation
             );
             let failure = Failure::new(OperatorErrorCode::GenerationConflict, message);
@@ -89,7 +89,7 @@
         }
         Applied::ChangeIdReused { generation } => {
             let message =
-                format!("generation {generation} has this change id and another document");
+                format!("generation {generation} has this change id with a different document");
             Err(Failure::new(OperatorErrorCode::ChangeIdReused, message))
         }
     }
--- a/crates/hemlocktack-node/src/operators/commands/drain_node.rs
+++ b/crates/hemlocktack-node/src/operators/commands/drain_node.rs
@@ -1,4 +1,4 @@
-//! `DrainNode`: take a node out of service without cutting off a call.
+//! `DrainNode`: takes a node out of service without interrupting calls.
 
 use hemlocktack_protocol::{
     DrainNodeRequest, DrainNodeResponse, DrainOrder, Member, NodeState, OperatorErrorCode, frame,
@@ -6,11 +6,11 @@
 use hemlocktack_telemetry::{Event, log_event};
 
 use crate::node::Node;
-use crate::operators::fan_out::ask;
+use crate::operators::fan_out::query_one;
 use crate::operators::{Failure, Result};
 
-/// Orders the drain and does not wait for its end. A node that drains already,
-/// or has left, is told so again: repeating is safe.
+/// Starts the drain without waiting for its end. The command is idempotent: for a node that
+/// is already draining or has left, the state is reported again.
 pub(in crate::operators) async fn run(
     node: &Node,
     request: DrainNodeRequest,
@@ -22,23 +22,23 @@
     }
     let members = node.members();
     let Some(member) = members.iter().find(|member| member.node_id == node_id) else {
-        let message = format!("no node {node_id:?} is known here; see `nodes`");
+        let message = format!("this node knows no node {node_id:?}; see `nodes`");
         return Err(Failure::new(OperatorErrorCode::UnknownNode, message));
     };
     if member.state() == NodeState::Left {
         return Ok(answer(&node_id, NodeState::Left));
     }
-    order(node, member).await?;
+    send_order(node, member).await?;
     Ok(answer(&node_id, NodeState::Draining))
 }
 
-async fn order(node: &Node, member: &Member) -> Result<()> {
-    let question = |query_id| frame::Body::DrainOrder(DrainOrder { query_id });
-    match ask(node, member, question).await {
+async fn send_order(node: &Node, member: &Member) -> Result<()> {
+    let query = |query_id| frame::Body::DrainOrder(DrainOrder { query_id });
+    match query_one(node, member, query).await {
         Some(frame::Body::DrainOrderAccepted(_)) => Ok(()),
         _ => {
             let message = format!(
-                "{} did not confirm; it may drain all the same: see `nodes`, or repeat",
+                "{} did not confirm the order, but may be draining; check `nodes` or repeat the command",
                 member.node_id
             );
             Err(Failure::new(OperatorErrorCode::NodeUnreachable, message))
--- a/crates/hemlocktack-node/src/operators/commands/mod.rs
+++ b/crates/hemlocktack-node/src/operators/commands/mod.rs
@@ -1,4 +1,4 @@
-//! Commands: they change the system, and repeating one is safe.
+//! Commands. They change the system and are idempotent.
 
 pub(super) mod apply_configuration;
 pub(super) mod drain_node;
--- a/crates/hemlocktack-node/src/operators/dispatch.rs
+++ b/crates/hemlocktack-node/src/operators/dispatch.rs
@@ -1,4 +1,4 @@
-//! From the name of a method to its function.
+//! Dispatches a request to the function of its method.
 
 use std::sync::Arc;
 
@@ -34,49 +34,51 @@
 ) -> Result<Vec<u8>> {
     let Ok(method) = method.parse() else {
         let known = Method::VARIANTS.join(", ");
-        let message = format!("there is no method {method:?}; known: {known}");
+        let message = format!("unknown method {method:?}; known methods: {known}");
         return Err(Failure::new(OperatorErrorCode::UnknownMethod, message));
     };
-    let call = Call { encoding, body };
+    let encoded = EncodedRequest { encoding, body };
     match method {
-        Method::CheckConfiguration => call.answer(queries::check_configuration::run),
+        Method::CheckConfiguration => encoded.answer(queries::check_configuration::run),
         Method::ShowConfiguration => {
-            let request = call.request()?;
-            call.encode(&queries::show_configuration::run(node, request).await?)
+            let request = encoded.decode()?;
+            encoded.encode(&queries::show_configuration::run(node, request).await?)
         }
         Method::ListConfigurationHistory => {
-            let request = call.request()?;
-            call.encode(&queries::list_configuration_history::run(node, request).await?)
+            let request = encoded.decode()?;
+            encoded.encode(&queries::list_configuration_history::run(node, request).await?)
         }
-        Method::ListUpstreams => call.answer(|request| queries::list_upstreams::run(node, request)),
-        Method::ListNodes => call.answer(|request| queries::list_nodes::run(node, request)),
+        Method::ListUpstreams => {
+            encoded.answer(|request| queries::list_upstreams::run(node, request))
+        }
+        Method::ListNodes => encoded.answer(|request| queries::list_nodes::run(node, request)),
         Method::GetStatus => {
-            let request = call.request()?;
-            call.encode(&queries::get_status::run(node, request).await)
+            let request = encoded.decode()?;
+            encoded.encode(&queries::get_status::run(node, request).await)
         }
         Method::ExplainCall => {
-            let request = call.request()?;
-            call.encode(&queries::explain_call::run(node, request).await?)
+            let request = encoded.decode()?;
+            encoded.encode(&queries::explain_call::run(node, request).await?)
         }
         Method::ApplyConfiguration => {
-            let request = call.request()?;
-            call.encode(&commands::apply_configuration::run(node, request).await?)
+            let request = encoded.decode()?;
+            encoded.encode(&commands::apply_configuration::run(node, request).await?)
         }
         Method::DrainNode => {
-            let request = call.request()?;
-            call.encode(&commands::drain_node::run(node, request).await?)
+            let request = encoded.decode()?;
+            encoded.encode(&commands::drain_node::run(node, request).await?)
         }
     }
 }
 
-/// One call while it is carried out.
-struct Call<'a> {
+/// Encoding and body of the request that is being handled.
+struct EncodedRequest<'a> {
     encoding: Encoding,
     body: &'a [u8],
 }
 
-impl Call<'_> {
-    fn request<T: Message + Default + DeserializeOwned>(&self) -> Result<T> {
+impl EncodedRequest<'_> {
+    fn decode<T: Message + Default + DeserializeOwned>(&self) -> Result<T> {
         self.encoding.decode(self.body)
     }
 
@@ -89,7 +91,7 @@
         Request: Message + Default + DeserializeOwned,
         Answer: Message + Serialize,
     {
-        let answer = run(self.request()?);
+        let answer = run(self.decode()?);
         self.encode(&answer)
     }
 }
--- a/crates/hemlocktack-node/src/operators/failure.rs
+++ b/crates/hemlocktack-node/src/operators/failure.rs
@@ -1,12 +1,12 @@
-//! Why an operators' call was not carried out.
+//! Errors of operators' requests.
 
 use hemlocktack_platform::{Effect, Error as PlatformError};
 use hemlocktack_protocol::{Finding, Generation, OperatorError, OperatorErrorCode};
 
-/// Result of an operators' call.
+/// Result of an operator's request.
 pub(crate) type Result<T> = std::result::Result<T, Failure>;
 
-/// A refusal with all that the operator gets to know.
+/// A failed request, with the details that the operator is told.
 #[derive(Debug)]
 pub(crate) struct Failure {
     pub(crate) code: OperatorErrorCode,
@@ -36,11 +36,11 @@
         }
     }
 
-    /// What a failed call to the platform means for the operator.
+    /// Converts a failed request to the platform.
     ///
-    /// Only a write whose answer was lost may have taken effect; the operator
-    /// is then told so, and that the same change may be sent again.
-    pub(crate) fn of_platform(error: &PlatformError) -> Self {
+    /// Only a write whose response was lost may have taken effect. The operator is told
+    /// that the outcome is unknown and that the same change may be sent again.
+    pub(crate) fn from_platform(error: &PlatformError) -> Self {
         let code = match error {
             PlatformError::TooLarge { .. } => OperatorErrorCode::BodyTooLarge,
             error if error.effect() == Effect::Possible => OperatorErrorCode::OutcomeUnknown,
--- a/crates/hemlocktack-node/src/operators/fan_out.rs
+++ b/crates/hemlocktack-node/src/operators/fan_out.rs
@@ -1,4 +1,4 @@
-//! One question to many nodes at once.
+//! Queries many nodes concurrently.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -9,48 +9,48 @@
 
 use crate::node::{Node, NodeLocation};
 
-/// Below the command line's timeout, so that the operator gets the answers of
-/// those that did answer.
+/// Shorter than the timeout of the command-line tool, so that the operator gets the
+/// answers of the nodes that responded.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Questions at the same time: a fleet of 560 is asked in nine rounds.
-const QUESTIONS_AT_ONCE: usize = 64;
+/// Limit of concurrent queries: a fleet of 560 nodes is queried in nine rounds.
+const MAX_CONCURRENT_QUERIES: usize = 64;
 
-/// What the others answered.
+/// Answers of the other nodes.
 pub(super) struct Answers {
     pub(super) bodies: Vec<frame::Body>,
     /// Nodes that did not answer in time.
     pub(super) silent_node_ids: Vec<String>,
 }
 
-/// Asks every other node that may run and that `is_meant`.
-pub(super) async fn ask_others(
+/// Queries every other node that may be running and that `is_selected` accepts.
+pub(super) async fn query_others(
     node: &Arc<Node>,
-    is_meant: impl Fn(&Member) -> bool,
-    question: impl Fn(u64) -> frame::Body + Clone + Send + 'static,
+    is_selected: impl Fn(&Member) -> bool,
+    query: impl Fn(u64) -> frame::Body + Clone + Send + 'static,
 ) -> Answers {
     let members = node.members();
     let others = members
         .iter()
         .filter(|member| *member.node_id != *node.identity.node_id)
-        .filter(|member| may_run(member) && is_meant(member));
-    let turns = Arc::new(Semaphore::new(QUESTIONS_AT_ONCE));
-    let mut asked = JoinSet::new();
+        .filter(|member| may_be_running(member) && is_selected(member));
+    let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_QUERIES));
+    let mut queries = JoinSet::new();
     for member in others {
         let (node, member) = (node.clone(), member.clone());
-        let (turns, question) = (turns.clone(), question.clone());
-        asked.spawn(async move {
-            let _turn = turns.acquire_owned().await;
-            let answer = ask(&node, &member, question).await;
+        let (permits, query) = (permits.clone(), query.clone());
+        queries.spawn(async move {
+            let _permit = permits.acquire_owned().await;
+            let answer = query_one(&node, &member, query).await;
             answer.ok_or(member.node_id)
         });
     }
-    collect(asked).await
+    collect(queries).await
 }
 
-async fn collect(mut asked: JoinSet<Result<frame::Body, String>>) -> Answers {
+async fn collect(mut queries: JoinSet<Result<frame::Body, String>>) -> Answers {
     let mut bodies = Vec::new();
     let mut silent_node_ids = Vec::new();
-    while let Some(answer) = asked.join_next().await {
+    while let Some(answer) = queries.join_next().await {
         match answer {
             Ok(Ok(body)) => bodies.push(body),
             Ok(Err(node_id)) => silent_node_ids.push(node_id),
@@ -64,19 +64,19 @@
     }
 }
 
-/// Asks one other node.
-pub(super) async fn ask(
+/// Queries one other node.
+pub(super) async fn query_one(
     node: &Node,
     member: &Member,
-    question: impl FnOnce(u64) -> frame::Body,
+    query: impl FnOnce(u64) -> frame::Body,
 ) -> Option<frame::Body> {
     let NodeLocation::Remote(peer) = node.locate(member)? else {
         return None;
     };
     let deadline = Instant::now() + ANSWER_TIMEOUT;
-    node.links.query(&peer, deadline, question).await
+    node.links.query(&peer, deadline, query).await
 }
 
-fn may_run(member: &Member) -> bool {
+fn may_be_running(member: &Member) -> bool {
     !matches!(member.state(), NodeState::Left | NodeState::Dead)
 }
--- a/crates/hemlocktack-node/src/operators/mod.rs
+++ b/crates/hemlocktack-node/src/operators/mod.rs
@@ -1,7 +1,7 @@
-//! Operators' remote procedure calls on the control address.
+//! Operators' API on the control address: remote procedure calls.
 //!
-//! `POST /hemlocktack.v1.Operators/{Method}` with a protobuf or JSON body of
-//! the schema. Queries change nothing; commands may be repeated.
+//! `POST /hemlocktack.v1.Operators/{Method}` with a protobuf or JSON body of the schema.
+//! Queries are read-only; commands are idempotent.
 
 mod authorise;
 mod body;
--- a/crates/hemlocktack-node/src/operators/queries/check_configuration.rs
+++ b/crates/hemlocktack-node/src/operators/queries/check_configuration.rs
@@ -1,4 +1,4 @@
-//! `CheckConfiguration`: the checks of a change, without storing it.
+//! `CheckConfiguration`: validates a document without storing it.
 
 use hemlocktack_protocol::{CheckConfigurationRequest, CheckConfigurationResponse};
 
--- a/crates/hemlocktack-node/src/operators/queries/explain_call.rs
+++ b/crates/hemlocktack-node/src/operators/queries/explain_call.rs
@@ -1,4 +1,4 @@
-//! `ExplainCall`: the recent spans of one trace from all nodes.
+//! `ExplainCall`: collects the recent spans of one trace from all nodes.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use hemlocktack_telemetry::parse_trace_id;
 
 use crate::node::Node;
-use crate::operators::fan_out::ask_others;
+use crate::operators::fan_out::query_others;
 use crate::operators::{Failure, Result};
 use crate::telemetry;
 
@@ -18,15 +18,15 @@
 ) -> Result<ExplainCallResponse> {
     let trace_id = request.trace_id;
     if parse_trace_id(&trace_id).is_none() {
-        let message = "a trace id has 32 lower-case hexadecimal digits, not all 0";
+        let message = "a trace id must have 32 lower-case hexadecimal digits, not all 0";
         return Err(Failure::new(OperatorErrorCode::MalformedRequest, message));
     }
-    let asked_id = trace_id.clone();
-    let question = move |query_id| {
-        let trace_id = asked_id.clone();
+    let queried_id = trace_id.clone();
+    let query = move |query_id| {
+        let trace_id = queried_id.clone();
         frame::Body::SpansPull(SpansPull { query_id, trace_id })
     };
-    let others = ask_others(node, |_| true, question).await;
+    let others = query_others(node, |_| true, query).await;
     let mut spans = telemetry::spans_of(node, &trace_id);
     for body in others.bodies {
         if let frame::Body::Spans(answer) = body {
--- a/crates/hemlocktack-node/src/operators/queries/get_status.rs
+++ b/crates/hemlocktack-node/src/operators/queries/get_status.rs
@@ -1,22 +1,22 @@
-//! `GetStatus`: what each node says of itself.
+//! `GetStatus`: collects the status of each node.
 
 use std::sync::Arc;
 
 use hemlocktack_protocol::{GetStatusRequest, GetStatusResponse, StatusPull, frame};
 
 use crate::node::Node;
-use crate::operators::fan_out::ask_others;
+use crate::operators::fan_out::query_others;
 use crate::telemetry;
 
 pub(in crate::operators) async fn run(
     node: &Arc<Node>,
     request: GetStatusRequest,
 ) -> GetStatusResponse {
-    let is_asked_for = |service: &str| request.service.is_empty() || request.service == service;
-    let question = |query_id| frame::Body::StatusPull(StatusPull { query_id });
-    let others = ask_others(node, |member| is_asked_for(&member.service), question).await;
+    let is_selected = |service: &str| request.service.is_empty() || request.service == service;
+    let query = |query_id| frame::Body::StatusPull(StatusPull { query_id });
+    let others = query_others(node, |member| is_selected(&member.service), query).await;
     let mut nodes = Vec::new();
-    if is_asked_for(&node.settings.service) {
+    if is_selected(&node.settings.service) {
         nodes.push(telemetry::status(node));
     }
     for body in others.bodies {
--- a/crates/hemlocktack-node/src/operators/queries/list_configuration_history.rs
+++ b/crates/hemlocktack-node/src/operators/queries/list_configuration_history.rs
@@ -1,4 +1,4 @@
-//! `ListConfigurationHistory`: who changed the configuration.
+//! `ListConfigurationHistory`: lists the latest changes of the configuration.
 
 use hemlocktack_platform::ConfigurationStore;
 use hemlocktack_protocol::{
@@ -9,20 +9,20 @@
 use crate::node::Node;
 use crate::operators::{Failure, Result};
 
-/// Each entry costs the platform a read.
-const LIMIT_MAX: usize = 20;
+/// Largest number of entries; each one costs the platform a read.
+const MAX_ENTRIES: usize = 20;
 
 pub(in crate::operators) async fn run(
     node: &Node,
     request: ListConfigurationHistoryRequest,
 ) -> Result<ListConfigurationHistoryResponse> {
     let limit = match request.limit {
-        0 => LIMIT_MAX,
-        limit => (limit as usize).min(LIMIT_MAX),
+        0 => MAX_ENTRIES,
+        limit => (limit as usize).min(MAX_ENTRIES),
     };
     let store = ConfigurationStore::new(node.platform.clone());
     let history = store.history(limit).await;
-    let history = history.map_err(|error| Failure::of_platform(&error))?;
+    let history = history.map_err(|error| Failure::from_platform(&error))?;
     Ok(ListConfigurationHistoryResponse {
         changes: history.into_iter().map(change).collect(),
     })
--- a/crates/hemlocktack-node/src/operators/queries/list_nodes.rs
+++ b/crates/hemlocktack-node/src/operators/queries/list_nodes.rs
@@ -1,4 +1,4 @@
-//! `ListNodes`: every node as this one sees it.
+//! `ListNodes`: lists all nodes as this node sees them.
 
 use hemlocktack_protocol::{ListNodesRequest, ListNodesResponse, Member};
 
@@ -10,7 +10,7 @@
     }
 }
 
-/// In order of their names; what this node says of itself is never stale.
+/// Returns all nodes ordered by name, with an up-to-date entry for this node itself.
 pub(super) fn all_members(node: &Node) -> Vec<Member> {
     let own = node.own_member();
     let members = node.members();
--- a/crates/hemlocktack-node/src/operators/queries/list_upstreams.rs
+++ b/crates/hemlocktack-node/src/operators/queries/list_upstreams.rs
@@ -1,4 +1,4 @@
-//! `ListUpstreams`: every upstream that has announced itself.
+//! `ListUpstreams`: lists the upstreams that have announced themselves.
 
 use hemlocktack_protocol::{
     ListUpstreamsRequest, ListUpstreamsResponse, Member, NodeState, UpstreamListing, UpstreamState,
@@ -11,11 +11,11 @@
     node: &Node,
     request: ListUpstreamsRequest,
 ) -> ListUpstreamsResponse {
-    let is_asked_for =
+    let is_selected =
         |member: &Member| request.service.is_empty() || member.service == request.service;
     let upstreams = all_members(node)
         .into_iter()
-        .filter(|member| is_asked_for(member) && has_upstream(member))
+        .filter(|member| is_selected(member) && has_upstream(member))
         .map(listing);
     ListUpstreamsResponse {
         upstreams: upstreams.collect(),
--- a/crates/hemlocktack-node/src/operators/queries/mod.rs
+++ b/crates/hemlocktack-node/src/operators/queries/mod.rs
@@ -1,4 +1,4 @@
-//! Queries: they change nothing.
+//! Queries, which are read-only.
 
 pub(super) mod check_configuration;
 pub(super) mod explain_call;
--- a/crates/hemlocktack-node/src/operators/queries/show_configuration.rs
+++ b/crates/hemlocktack-node/src/operators/queries/show_configuration.rs
@@ -1,4 +1,4 @@
-//! `ShowConfiguration`: a stored document.
+//! `ShowConfiguration`: returns a stored document.
 
 use hemlocktack_platform::ConfigurationStore;
 use hemlocktack_protocol::{
@@ -20,30 +20,31 @@
     Ok(ShowConfigurationResponse { configuration })
 }
 
-/// The newest one is what the platform says: what is in force here may be a
-/// few seconds older, and an edit of it would be refused as a conflict.
+/// Reads the newest document from the platform. The one that is active here may be a few
+/// seconds older, and an edit of it would be refused as a conflict.
 async fn newest(node: &Node) -> Result<Option<ConfigurationDocument>> {
     let store = ConfigurationStore::new(node.platform.clone());
     let newest = store.read_newest().await.map_err(|error| {
-        let in_force = node.active_configuration();
-        let generation = in_force.map_or(0, |in_force| in_force.generation);
-        Failure::of_platform(&error).with_current_generation(generation)
+        let active = node.active_configuration();
+        let generation = active.map_or(0, |active| active.generation);
+        Failure::from_platform(&error).with_current_generation(generation)
     })?;
     Ok(newest.map(|stored| stored.configuration))
 }
 
-/// A generation never changes, so the one in force needs no platform.
+/// Returns the document of a generation. A generation never changes, so the active one is
+/// returned without a read from the platform.
 async fn one(node: &Node, generation: Generation) -> Result<ConfigurationDocument> {
-    if let Some(in_force) = node.active_configuration()
-        && in_force.generation == generation
+    if let Some(active) = node.active_configuration()
+        && active.generation == generation
     {
-        return Ok(in_force.stored.clone());
+        return Ok(active.stored.clone());
     }
     let store = ConfigurationStore::new(node.platform.clone());
     let stored = store.read(generation).await;
-    let stored = stored.map_err(|error| Failure::of_platform(&error))?;
+    let stored = stored.map_err(|error| Failure::from_platform(&error))?;
     stored.ok_or_else(|| {
-        let message = format!("generation {generation} is not kept, or does not exist yet");
+        let message = format!("generation {generation} is no longer kept or does not exist yet");
         Failure::new(OperatorErrorCode::UnknownGeneration, message)
     })
 }
--- a/crates/hemlocktack-node/src/operators/routes.rs
+++ b/crates/hemlocktack-node/src/operators/routes.rs
@@ -1,4 +1,4 @@
-//! One route for every method, also those that the schema does not have.
+//! HTTP routes of the operators' API: one for all methods, including unknown ones.
 
 use std::io::Cursor;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use super::{Failure, Result, authorise};
 use crate::node::Node;
 
-/// All but POST get an answer that says so, instead of the framework's page.
+/// Methods other than POST get an error of this API instead of the framework's error page.
 const METHODS: [Method; 5] = [
     Method::Post,
     Method::Get,
@@ -23,7 +23,7 @@
     Method::Delete,
 ];
 
-/// Routes of the operators' calls.
+/// Returns the routes of the operators' API.
 pub(crate) fn routes(node: &Arc<Node>) -> Vec<Route> {
     let path = format!("/{OPERATORS_SERVICE}/<method..>");
     let handler = Operators { node: node.clone() };
@@ -53,7 +53,7 @@
         let response = Response::build()
             .status(status)
             .header(reply_encoding.content_type())
-            // A status or a document with a token's rights is nobody else's.
+            // Responses are only for the holder of the token and must not be cached.
             .header(Header::new("cache-control", "no-store"))
             .sized_body(body.len(), Cursor::new(body))
             .finalize();
@@ -73,7 +73,7 @@
         let token = request.headers().get_one("authorization");
         authorise::authorise(&self.node, token, method)?;
         if request.method() != Method::Post {
-            let message = "operators' calls are sent by POST";
+            let message = "requests of operators must use POST";
             return Err(Failure::new(OperatorErrorCode::UnknownMethod, message));
         }
         let encoding = encoding?;
--- a/crates/hemlocktack-node/src/run.rs
+++ b/crates/hemlocktack-node/src/run.rs
@@ -93,10 +93,9 @@
     stop: impl Future<Output = ()>,
 ) -> std::result::Result<(), String> {
     match settings::read(arguments, |_| None) {
-        Ok(Invocation::Run(settings)) => {
-            let result = run(*settings, stop).await;
-            result.map_err(|error| error.to_string())
-        }
+        Ok(Invocation::Run(settings)) => run(*settings, stop)
+            .await
+            .map_err(|error| error.to_string()),
         Ok(_) => Err("the flags do not start a node".to_owned()),
         Err(error) => Err(error.to_string()),
     }
