--- a/crates/hemlocktack-node/src/telemetry/entry_counts.rs
+++ b/crates/hemlocktack-node/src/telemetry/entry_counts.rs
@@ -1,4 +1,4 @@
-//! Ends of the calls that entered here, by service, outcome and reason.
+//! Counts of finished calls that entered at this node, by service, outcome and reason.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,19 +10,19 @@
 use strum::IntoEnumIterator;
 
 /// Larger than any number of a `Reason` in the schema.
-const REASON_NUMBERS: usize = 64;
+const REASON_SLOTS: usize = 64;
 
-/// Counts of one service.
+/// Counts of one service, by outcome and reason.
 #[derive(Debug)]
-struct Ends {
+struct OutcomeCounts {
     answered: AtomicU64,
-    not_run: [AtomicU64; REASON_NUMBERS],
-    unknown: [AtomicU64; REASON_NUMBERS],
+    not_run: [AtomicU64; REASON_SLOTS],
+    unknown: [AtomicU64; REASON_SLOTS],
 }
 
-impl Default for Ends {
+impl Default for OutcomeCounts {
     fn default() -> Self {
-        Ends {
+        OutcomeCounts {
             answered: AtomicU64::new(0),
             not_run: std::array::from_fn(|_| AtomicU64::new(0)),
             unknown: std::array::from_fn(|_| AtomicU64::new(0)),
@@ -30,8 +30,8 @@
     }
 }
 
-impl Ends {
-    fn count_of(&self, outcome: Outcome, reason: Reason) -> Option<&AtomicU64> {
+impl OutcomeCounts {
+    fn counter(&self, outcome: Outcome, reason: Reason) -> Option<&AtomicU64> {
         match outcome {
             Outcome::Answered => Some(&self.answered),
             Outcome::NotRun => self.not_run.get(reason as usize),
@@ -42,17 +42,17 @@
 
 /// Counts of all declared services.
 ///
-/// A service gets its counts when it is declared and keeps them, so that the
-/// set is bounded by what operators have declared. What callers make up is
-/// counted together without a name.
+/// A service gets its counts when a configuration declares it and keeps them, so that their
+/// number is bounded by what operators have declared. Calls to undeclared services are
+/// counted together under an empty name.
 #[derive(Debug, Default)]
 pub(crate) struct EntryCounts {
-    services: ArcSwap<HashMap<ServiceName, Arc<Ends>>>,
-    undeclared: Ends,
+    services: ArcSwap<HashMap<ServiceName, Arc<OutcomeCounts>>>,
+    undeclared: OutcomeCounts,
 }
 
 impl EntryCounts {
-    /// Makes room for the services of a configuration.
+    /// Adds counts for the services of a configuration.
     pub(crate) fn declare(&self, document: &Document) {
         self.services.rcu(|known| {
             let mut services = HashMap::clone(known);
@@ -63,16 +63,16 @@
         });
     }
 
-    /// Counts one end.
+    /// Counts one finished call.
     pub(crate) fn record(&self, service: &str, outcome: Outcome, reason: Reason) {
         let services = self.services.load();
-        let ends = services.get(service).map_or(&self.undeclared, Arc::as_ref);
-        if let Some(count) = ends.count_of(outcome, reason) {
+        let counts = services.get(service).map_or(&self.undeclared, Arc::as_ref);
+        if let Some(count) = counts.counter(outcome, reason) {
             count.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// The counts that are not 0, in order of services.
+    /// Returns the non-zero counts, ordered by service.
     pub(crate) fn counts(&self) -> Vec<EntryCount> {
         let services = self.services.load();
         let mut counts = counts_of("", &self.undeclared);
@@ -85,18 +85,18 @@
     }
 }
 
-fn counts_of(service: &str, ends: &Ends) -> Vec<EntryCount> {
+fn counts_of(service: &str, by_outcome: &OutcomeCounts) -> Vec<EntryCount> {
     let entry = |outcome: Outcome, reason: Reason, count: u64| EntryCount {
         service: service.to_owned(),
         outcome: outcome.into(),
         reason: reason.into(),
         count,
     };
-    let answered = ends.answered.load(Ordering::Relaxed);
+    let answered = by_outcome.answered.load(Ordering::Relaxed);
     let mut counts = vec![entry(Outcome::Answered, Reason::Unspecified, answered)];
     for outcome in [Outcome::NotRun, Outcome::Unknown] {
         for reason in Reason::iter() {
-            let count = ends.count_of(outcome, reason);
+            let count = by_outcome.counter(outcome, reason);
             let count = count.map_or(0, |count| count.load(Ordering::Relaxed));
             counts.push(entry(outcome, reason, count));
         }
--- a/crates/hemlocktack-node/src/telemetry/histogram.rs
+++ b/crates/hemlocktack-node/src/telemetry/histogram.rs
@@ -1,4 +1,4 @@
-//! Durations in buckets, counted without a lock on the request path.
+//! Histogram of durations, updated without a lock on the request path.
 
 use std::fmt::Error;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -7,18 +7,18 @@
 use prometheus_client::encoding::{EncodeMetric, MetricEncoder, NoLabelSet};
 use prometheus_client::metrics::{MetricType, TypedMetric};
 
-/// Upper bounds in microseconds: a hop takes some hundred, the most patient
-/// caller waits for minutes.
+/// Upper bounds of the buckets in microseconds. A hop takes some hundred microseconds; the
+/// longest caller timeouts are minutes.
 const BOUNDS_US: [u64; 13] = [
     100, 250, 500, 1_000, 2_500, 5_000, 10_000, 50_000, 100_000, 500_000, 1_000_000, 5_000_000,
     30_000_000,
 ];
-const MICROS_A_SECOND: f64 = 1e6;
+const MICROS_PER_SECOND: f64 = 1e6;
 
 /// Histogram of durations, exposed in seconds.
 #[derive(Debug, Default)]
 pub(crate) struct DurationHistogram {
-    /// The last one has no bound.
+    /// The last bucket has no upper bound.
     buckets: [AtomicU64; BOUNDS_US.len() + 1],
     sum_us: AtomicU64,
 }
@@ -32,7 +32,7 @@
     }
 }
 
-/// What one scrape sees.
+/// Values of a histogram for one scrape.
 #[derive(Debug)]
 pub(crate) struct HistogramSnapshot {
     counts: Vec<(f64, u64)>,
@@ -43,7 +43,7 @@
     pub(crate) fn snapshot(&self) -> HistogramSnapshot {
         let bounds = BOUNDS_US
             .iter()
-            .map(|bound| *bound as f64 / MICROS_A_SECOND);
+            .map(|bound| *bound as f64 / MICROS_PER_SECOND);
         let bounds = bounds.chain([f64::INFINITY]);
         let counts = self
             .buckets
@@ -51,7 +51,7 @@
             .map(|count| count.load(Ordering::Relaxed));
         HistogramSnapshot {
             counts: bounds.zip(counts).collect(),
-            sum_seconds: self.sum_us.load(Ordering::Relaxed) as f64 / MICROS_A_SECOND,
+            sum_seconds: self.sum_us.load(Ordering::Relaxed) as f64 / MICROS_PER_SECOND,
         }
     }
 }
--- a/crates/hemlocktack-node/src/telemetry/log_rate_limiter.rs
+++ b/crates/hemlocktack-node/src/telemetry/log_rate_limiter.rs
@@ -1,15 +1,15 @@
-//! Bounds the log lines about single calls.
+//! Limits the rate of log lines about single calls.
 
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Lines about single calls in a second. At 300 bytes a line, 60 KB: enough to
-/// follow any refused request on a calm day, and a hundredth of a core in an
-/// overload that refuses everybody.
+/// Log lines about single calls per second. At 300 bytes per line that is 60 KB/s: enough to
+/// log every refused request under normal load, and about 1% of a core in an overload in
+/// which all requests are refused.
 const LINES_PER_SECOND: u32 = 200;
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Lines that may still be written in the current second.
+/// Allows a fixed number of log lines in each second.
 #[derive(Debug)]
 pub(crate) struct LogRateLimiter {
     state: Mutex<State>,
@@ -19,7 +19,7 @@
 struct State {
     second_began: Instant,
     written: u32,
-    left_out: u64,
+    suppressed: u64,
 }
 
 impl Default for LogRateLimiter {
@@ -27,7 +27,7 @@
         let state = State {
             second_began: Instant::now(),
             written: 0,
-            left_out: 0,
+            suppressed: 0,
         };
         Self {
             state: Mutex::new(state),
@@ -36,7 +36,7 @@
 }
 
 impl LogRateLimiter {
-    /// If a line may be written, how many were left out before it.
+    /// Returns the number of lines suppressed since the last one, if a line may be written.
     pub(crate) fn try_acquire(&self) -> Option<u64> {
         let now = Instant::now();
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
@@ -45,10 +45,10 @@
             state.written = 0;
         }
         if state.written >= LINES_PER_SECOND {
-            state.left_out += 1;
+            state.suppressed += 1;
             return None;
         }
         state.written += 1;
-        Some(std::mem::take(&mut state.left_out))
+        Some(std::mem::take(&mut state.suppressed))
     }
 }
--- a/crates/hemlocktack-node/src/telemetry/log_throttle.rs
+++ b/crates/hemlocktack-node/src/telemetry/log_throttle.rs
@@ -1,12 +1,12 @@
-//! Log lines that others can cause at will, held to a rate.
+//! Limits the rate of log lines that remote parties can trigger at will.
 
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Somebody who tries tokens or keys must not fill the log.
+/// Interval between lines, so that an attacker who tries tokens or keys cannot fill the log.
 const INTERVAL: Duration = Duration::from_secs(1);
 
-/// Counts occurrences and says when a line is due.
+/// Counts occurrences, and allows one log line per interval.
 #[derive(Debug, Default)]
 pub(crate) struct LogThrottle {
     state: Mutex<State>,
@@ -20,7 +20,7 @@
 }
 
 impl LogThrottle {
-    /// Counts one; if a line is due, how many it stands for.
+    /// Counts one occurrence; returns the occurrences since the last line if a line is due.
     pub(crate) fn record(&self) -> Option<u64> {
         let now = Instant::now();
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
@@ -34,7 +34,7 @@
         Some(std::mem::take(&mut state.since_logged))
     }
 
-    /// All that were counted.
+    /// Returns the number of all occurrences.
     pub(crate) fn total(&self) -> u64 {
         let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         state.total
--- a/crates/hemlocktack-node/src/telemetry/logs.rs
+++ b/crates/hemlocktack-node/src/telemetry/logs.rs
@@ -1,4 +1,4 @@
-//! Log lines as text or JSON on standard output.
+//! Logging to standard output, as text or JSON.
 
 use std::io::IsTerminal;
 
@@ -7,23 +7,23 @@
 
 use crate::settings::LogFormat;
 
-/// The web framework writes lines for each request, and warns of each path that
-/// it does not know: neither is an event of the node.
+/// Turns off the web framework's own log lines. It logs each request and warns of each
+/// unknown path, and neither is an event of the node.
 const DEFAULT_FILTER: &str = "info,rocket=off";
-/// Lines that may wait for a reader of the log; about a megabyte.
-const WAITING_LINES_MAX: usize = 2_000;
+/// Log lines buffered while the reader of the log is slow; about 1 MB.
+const MAX_BUFFERED_LINES: usize = 2_000;
 
-/// Starts the log; `RUST_LOG` chooses what is written, if it is set. What waits
-/// is written when the guard goes.
+/// Starts logging, filtered by `RUST_LOG` if it is set. Dropping the guard flushes the
+/// buffered lines.
 ///
-/// Failure: whoever reads the log stops reading, the pipe fills, and the next
-/// line blocks the thread that answers callers. A thread of its own writes, and
-/// what it cannot get rid of in time is dropped.
+/// A separate thread writes the lines, and lines beyond the buffer are dropped. Otherwise a
+/// reader that stops reading would fill the pipe, and the next line would block a thread
+/// that answers callers.
 pub(crate) fn start_logs(format: LogFormat) -> WorkerGuard {
     let filter =
         EnvFilter::try_from_default_env().unwrap_or_else(|_| EnvFilter::new(DEFAULT_FILTER));
     let (writer, guard) = NonBlockingBuilder::default()
-        .buffered_lines_limit(WAITING_LINES_MAX)
+        .buffered_lines_limit(MAX_BUFFERED_LINES)
         .lossy(true)
         .finish(std::io::stdout());
     let lines = tracing_subscriber::fmt()
@@ -31,7 +31,7 @@
         .with_target(false)
         .with_ansi(std::io::stdout().is_terminal())
         .with_writer(writer);
-    // A second start in one process, as in tests, keeps the first log.
+    // Fails if logging was started before in this process, as in tests; the first one stays.
     let _ = match format {
         LogFormat::Text => lines.try_init(),
         LogFormat::Json => lines.json().flatten_event(true).try_init(),
--- a/crates/hemlocktack-node/src/telemetry/metrics.rs
+++ b/crates/hemlocktack-node/src/telemetry/metrics.rs
@@ -1,6 +1,6 @@
-//! Metrics in the OpenMetrics text format, read from the node at each scrape.
+//! Metrics in the OpenMetrics text format, collected from the node at each scrape.
 //!
-//! `docs/METRICS.md` lists them; a test holds both together.
+//! `docs/METRICS.md` lists them; a test keeps the page and the code consistent.
 
 use std::sync::atomic::AtomicU64;
 
@@ -18,44 +18,45 @@
 use crate::peers::GossipCounts;
 
 const PREFIX: &str = "hemlocktack";
-const MICROS_A_SECOND: f64 = 1e6;
+const MICROS_PER_SECOND: f64 = 1e6;
 
 type FloatGauge = Gauge<f64, AtomicU64>;
 
-/// Bounded: declared services, three outcomes, the schema's reasons.
+/// Labels of finished calls. Bounded by the declared services, three outcomes and the
+/// schema's reasons.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct EndLabels {
+struct EntryLabels {
     service: String,
     outcome: &'static str,
     reason: &'static str,
 }
 
-/// Bounded: the schema's reasons.
+/// Labels of refusals. Bounded by the schema's reasons.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct ReasonLabels {
     reason: &'static str,
 }
 
-/// Bounded: what may follow a send.
+/// Labels of ended sends. Bounded by the steps that can follow a send.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct NextStepLabels {
     next: &'static str,
 }
 
-/// Bounded: the schema's states.
+/// Labels of nodes. Bounded by the schema's states.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct StateLabels {
     state: &'static str,
 }
 
-/// Bounded: two directions, six kinds of datagrams.
+/// Labels of gossip traffic. Bounded by two directions and six kinds of datagrams.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct GossipLabels {
     direction: &'static str,
     kind: &'static str,
 }
 
-/// Text of `/metrics`.
+/// Returns the text of `/metrics`.
 pub(crate) fn metrics_text(node: &Node) -> String {
     let mut registry = Registry::with_prefix(PREFIX);
     let status = status(node);
@@ -67,8 +68,8 @@
     register_telemetry(&mut registry, node);
     register_gossip(&mut registry, node);
     let mut out = String::new();
-    // Writing to a string fails only where a metric cannot be encoded; half a
-    // page would pass for a whole one.
+    // Writing to a string fails only if a metric cannot be encoded. An empty page is better
+    // than a truncated one, which a scraper would take for complete.
     if text::encode(&mut out, &registry).is_err() {
         out.clear();
     }
@@ -76,9 +77,9 @@
 }
 
 fn register_calls(registry: &mut Registry, node: &Node, status: &NodeStatus) {
-    let ends = Family::<EndLabels, Counter>::default();
+    let ends = Family::<EntryLabels, Counter>::default();
     for entry in &status.entries {
-        let labels = EndLabels {
+        let labels = EntryLabels {
             service: entry.service.clone(),
             outcome: Outcome::try_from(entry.outcome).unwrap_or_default().into(),
             reason: Reason::try_from(entry.reason).unwrap_or_default().into(),
@@ -103,7 +104,7 @@
     registry.register("ended_sends", help, ended_sends);
     let refusals = Family::<ReasonLabels, Counter>::default();
     for reason in Reason::iter() {
-        // From 0 on, so that a first refusal shows as a rise.
+        // Exported as 0 from the start, so that the first refusal is visible as an increase.
         let reason = reason.into();
         refusals.get_or_create(&ReasonLabels { reason }).inc_by(0);
     }
@@ -126,10 +127,10 @@
     gauge(registry, "upstream_limit_calls", help, load.limit);
     let help = "Calls that wait for a slot of the upstream";
     gauge(registry, "queued_calls", help, load.queued);
-    let delay = load.queue_delay_us as f64 / MICROS_A_SECOND;
+    let delay = load.queue_delay_us as f64 / MICROS_PER_SECOND;
     let help = "Estimated wait of a call that would be queued now";
     seconds(registry, "queue_delay", help, delay);
-    let service_time = load.service_time_us as f64 / MICROS_A_SECOND;
+    let service_time = load.service_time_us as f64 / MICROS_PER_SECOND;
     let help = "Estimated time of the upstream for one call";
     seconds(registry, "service_time", help, service_time);
     let shed = ShedLevel::unpack(load.shed_level).classes_shed(node.class_count());
--- a/crates/hemlocktack-node/src/telemetry/mod.rs
+++ b/crates/hemlocktack-node/src/telemetry/mod.rs
@@ -1,4 +1,4 @@
-//! What operators see: logs, metrics, traces, status.
+//! Observability for operators: logs, metrics, traces, status.
 
 mod entry_counts;
 mod histogram;
--- a/crates/hemlocktack-node/src/telemetry/monitor.rs
+++ b/crates/hemlocktack-node/src/telemetry/monitor.rs
@@ -1,8 +1,7 @@
 //! Logs changes of the node's state, each once.
 //!
-//! The parts of the node change their state where they have to; this task looks
-//! at all of it together, so that a state which flaps between two looks does not
-//! fill the log.
+//! One task polls the state of all parts of the node, so that a state that flaps between
+//! two polls does not fill the log.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -14,31 +13,31 @@
 use super::status;
 use crate::node::Node;
 
-const LOOK_EVERY: Duration = Duration::from_millis(500);
-/// The platform's answers are late now and then; only what lasts is an event.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// The platform's answers are occasionally late, so only a longer outage is logged.
 const PLATFORM_LOST_AFTER: Duration = Duration::from_secs(3);
-/// Under overload shedding comes and goes with the queue; it has ended when it
-/// has been away for this long.
+/// Under overload, shedding starts and stops with the queue length. It counts as ended once
+/// nothing has been shed for this long.
 const SHEDDING_ENDED_AFTER: Duration = Duration::from_secs(10);
 
-/// Watches the node until the process ends.
+/// Monitors the node until the process exits.
 pub(crate) async fn monitor(node: Arc<Node>) {
-    let mut seen = Seen::default();
+    let mut logged = LoggedState::default();
     loop {
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         let now = Instant::now();
         let status = status(&node);
-        seen.upstream(&status);
-        seen.platform(&status, now);
-        seen.shedding(&status, now);
+        logged.log_upstream(&status);
+        logged.log_platform(&status, now);
+        logged.log_shedding(&status, now);
         log_load(&status);
-        seen.quarantine(&status);
-        seen.peers(&node.members());
+        logged.log_quarantine(&status);
+        logged.log_peers(&node.members());
     }
 }
 
-/// While calls wait, what decides about them is written down with each look, so
-/// that a refusal can be explained afterwards.
+/// Logs the values that decide about queued calls with each poll while calls wait, so that
+/// a refusal can be explained afterwards.
 fn log_load(status: &NodeStatus) {
     let Some(load) = status.load.filter(|load| load.queued > 0) else {
         return;
@@ -54,52 +53,52 @@
     );
 }
 
-/// What has been logged so far.
+/// State as it was last logged.
 #[derive(Default)]
-struct Seen {
+struct LoggedState {
     upstream: UpstreamState,
-    platform: Lasting,
-    shedding: Lasting,
+    platform: DebouncedFlag,
+    shedding: DebouncedFlag,
     quarantined: HashSet<Fingerprint>,
     lost_peers: HashSet<String>,
 }
 
-/// A condition that counts once it has lasted.
+/// A flag that changes only after its new value has lasted for a while.
 #[derive(Default)]
-struct Lasting {
-    holds: bool,
-    /// Since when it is the other way round.
+struct DebouncedFlag {
+    value: bool,
+    /// Since when the observed value differs from `value`.
     differs_since: Option<Instant>,
 }
 
-impl Lasting {
-    /// Whether it has just begun or ended to hold; `wait` is how long it has to
-    /// be the other way round first.
-    fn turns(&mut self, found: bool, wait: Duration, now: Instant) -> bool {
-        if found == self.holds {
+impl DebouncedFlag {
+    /// Takes an observed value; returns whether the flag changes, which it does once the
+    /// observed value has differed for at least `delay`.
+    fn update(&mut self, observed: bool, delay: Duration, now: Instant) -> bool {
+        if observed == self.value {
             self.differs_since = None;
             return false;
         }
         let since = *self.differs_since.get_or_insert(now);
-        if now.saturating_duration_since(since) < wait {
+        if now.saturating_duration_since(since) < delay {
             return false;
         }
-        self.holds = found;
+        self.value = observed;
         self.differs_since = None;
         true
     }
 }
 
-impl Seen {
-    fn upstream(&mut self, status: &NodeStatus) {
+impl LoggedState {
+    fn log_upstream(&mut self, status: &NodeStatus) {
         let state = status.upstream();
         let before = std::mem::replace(&mut self.upstream, state);
         if state == before {
             return;
         }
-        let was_there = matches!(before, UpstreamState::Cold | UpstreamState::Ready);
+        let was_announced = matches!(before, UpstreamState::Cold | UpstreamState::Ready);
         match state {
-            UpstreamState::Cold | UpstreamState::Ready if !was_there => {
+            UpstreamState::Cold | UpstreamState::Ready if !was_announced => {
                 log_event!(Event::UpstreamAnnounced);
             }
             UpstreamState::Draining => log_event!(Event::UpstreamDraining),
@@ -110,13 +109,13 @@
         }
     }
 
-    fn platform(&mut self, status: &NodeStatus, now: Instant) {
+    fn log_platform(&mut self, status: &NodeStatus, now: Instant) {
         let is_lost = !status.platform_reachable;
-        let wait = match is_lost {
+        let delay = match is_lost {
             true => PLATFORM_LOST_AFTER,
             false => Duration::ZERO,
         };
-        if !self.platform.turns(is_lost, wait, now) {
+        if !self.platform.update(is_lost, delay, now) {
             return;
         }
         match is_lost {
@@ -125,33 +124,33 @@
         }
     }
 
-    fn shedding(&mut self, status: &NodeStatus, now: Instant) {
-        let sheds = status.load.is_some_and(|load| load.shed_level > 0);
-        let wait = match sheds {
+    fn log_shedding(&mut self, status: &NodeStatus, now: Instant) {
+        let is_shedding = status.load.is_some_and(|load| load.shed_level > 0);
+        let delay = match is_shedding {
             true => Duration::ZERO,
             false => SHEDDING_ENDED_AFTER,
         };
-        if !self.shedding.turns(sheds, wait, now) {
+        if !self.shedding.update(is_shedding, delay, now) {
             return;
         }
         let queued_count = status.load.map_or(0, |load| load.queued);
-        match sheds {
+        match is_shedding {
             true => log_event!(Event::SheddingBegun, queued_count),
             false => log_event!(Event::SheddingEnded),
         }
     }
 
-    fn quarantine(&mut self, status: &NodeStatus) {
-        let refused = status.quarantined_fingerprints.iter().copied();
-        let refused = refused.collect::<HashSet<_>>();
-        for fingerprint in refused.difference(&self.quarantined) {
+    fn log_quarantine(&mut self, status: &NodeStatus) {
+        let quarantined = status.quarantined_fingerprints.iter().copied();
+        let quarantined = quarantined.collect::<HashSet<_>>();
+        for fingerprint in quarantined.difference(&self.quarantined) {
             let fingerprint = format!("{fingerprint:016x}");
             log_event!(Event::RequestQuarantined, fingerprint);
         }
-        self.quarantined = refused;
+        self.quarantined = quarantined;
     }
 
-    fn peers(&mut self, members: &[Member]) {
+    fn log_peers(&mut self, members: &[Member]) {
         let dead = members
             .iter()
             .filter(|member| member.state() == NodeState::Dead)
--- a/crates/hemlocktack-node/src/telemetry/status.rs
+++ b/crates/hemlocktack-node/src/telemetry/status.rs
@@ -1,4 +1,4 @@
-//! This node's own view of itself, for operators.
+//! Status of this node, for operators and metrics.
 
 use std::time::Instant;
 
@@ -7,7 +7,7 @@
 
 use crate::node::Node;
 
-/// Snapshot of this node.
+/// Returns a snapshot of this node's state and counters.
 pub(crate) fn status(node: &Node) -> NodeStatus {
     let now = Instant::now();
     let quarantined = node
@@ -23,7 +23,7 @@
         upstream: node.upstream_state().into(),
         generation_in_force: node
             .active_configuration()
-            .map_or(0, |in_force| in_force.generation),
+            .map_or(0, |active| active.generation),
         demand_count: node.counters.demand_count(),
         admitted_count: node.counters.admitted_count(),
         retried_count: node.counters.retried_count(),
--- a/crates/hemlocktack-node/src/telemetry/traces.rs
+++ b/crates/hemlocktack-node/src/telemetry/traces.rs
@@ -1,4 +1,4 @@
-//! Traces of this node.
+//! Trace spans of this node.
 
 use std::time::Duration;
 
@@ -10,10 +10,11 @@
 use crate::node::Node;
 use crate::settings::Settings;
 
-/// Longer paths would make the memory of the recent spans depend on callers.
-const PATH_SHOWN_CHARACTERS: usize = 120;
+/// Limit of the path in a span. Without it, callers could determine how much memory the
+/// recent spans use.
+const MAX_PATH_CHARACTERS: usize = 120;
 
-/// The node's tracer, with export where an endpoint is set.
+/// Creates the node's tracer, with export if an endpoint is configured.
 pub(crate) fn start_tracer(settings: &Settings) -> Result<Tracer, ExportError> {
     let export = settings
         .otlp_endpoint
@@ -24,7 +25,7 @@
     Ok(Tracer::new(node_id, settings.service.clone(), export))
 }
 
-/// Recent spans of a trace, for operators.
+/// Returns the recent spans of a trace, for operators.
 pub(crate) fn spans_of(node: &Node, trace_id: &str) -> Vec<Span> {
     let Some(trace_id) = parse_trace_id(trace_id) else {
         return Vec::new();
@@ -33,20 +34,20 @@
     records.iter().map(SpanRecord::to_message).collect()
 }
 
-/// A span of one call on this node.
+/// A span in the handling of one call on this node.
 pub(crate) struct CallSpan {
     span: ActiveSpan,
 }
 
 impl CallSpan {
-    /// Begins a span and lets what the call does next belong to it.
+    /// Begins a span and makes it the parent of the call's next spans.
     pub(crate) fn begin(node: &Node, name: SpanName, call: &mut Call) -> Self {
         let observed = Self::begin_leaf(node, name, call);
         call.traceparent = observed.span.context().header();
         observed
     }
 
-    /// Begins a span in which nothing else happens.
+    /// Begins a span without child spans, such as a wait.
     pub(crate) fn begin_leaf(node: &Node, name: SpanName, call: &Call) -> Self {
         let context = node.tracer.context_of(Some(&call.traceparent));
         let span = node.tracer.start(context, name);
@@ -65,7 +66,7 @@
         self.span.end(&node.tracer, end, detail);
     }
 
-    /// Ends a wait, with the reason if it ended in a refusal.
+    /// Ends a span without child spans, with the reason if the call was refused.
     pub(crate) fn end_leaf(self, node: &Node, refused: Option<Reason>) {
         let end = refused.map_or(SpanEnd::DONE, |reason| SpanEnd {
             outcome: Outcome::NotRun,
@@ -75,9 +76,10 @@
     }
 }
 
-/// Method and path for people. The query stays out: it may name persons.
+/// Returns the method and path for display, without the query, which may contain personal
+/// data.
 pub(crate) fn request_line(method: &str, path: &str) -> String {
     let path = path.split('?').next().unwrap_or_default();
-    let shown = path.chars().take(PATH_SHOWN_CHARACTERS);
+    let shown = path.chars().take(MAX_PATH_CHARACTERS);
     format!("{method} {}", shown.collect::<String>())
 }
--- a/crates/hemlocktack-node/src/telemetry/waits.rs
+++ b/crates/hemlocktack-node/src/telemetry/waits.rs
@@ -1,16 +1,16 @@
-//! How long calls wait, and for what.
+//! Histograms of the times that calls wait.
 
 use super::histogram::DurationHistogram;
 
-/// Waits since the node's start.
+/// Wait times since the node started.
 #[derive(Debug, Default)]
 pub(crate) struct Waits {
-    /// From a caller's request until its answer leaves.
+    /// From a caller's request until its answer is sent.
     pub(crate) entry: DurationHistogram,
-    /// For another node's reply.
+    /// Waiting for another node's reply.
     pub(crate) link: DurationHistogram,
-    /// For a slot of the upstream; also where it ends in a refusal.
+    /// Waiting for a slot of the upstream, including waits that end in a refusal.
     pub(crate) queue: DurationHistogram,
-    /// For the upstream's answer.
+    /// Waiting for the upstream's answer.
     pub(crate) upstream: DurationHistogram,
 }
