--- a/crates/hemlocktack-decide/benches/decisions.rs
+++ b/crates/hemlocktack-decide/benches/decisions.rs
@@ -37,7 +37,7 @@
 /// An admission whose slots are taken and in whose queue `queued` calls wait.
 fn busy(queued: u64, now: Instant) -> Admission {
     let mut policy = AdmissionPolicy::default();
-    policy.queue.per_slot = 1000.0;
+    policy.queue.calls_per_slot = 1000.0;
     let mut admission = Admission::new(policy, now);
     admission.announced(SLOTS, SLOTS * 8, false, now);
     for call_id in 0..u64::from(SLOTS) + queued {
--- a/crates/hemlocktack-decide/examples/scenarios/driver/entry_side.rs
+++ b/crates/hemlocktack-decide/examples/scenarios/driver/entry_side.rs
@@ -24,14 +24,14 @@
             let service = self.deployment.steps[call.step].service;
             let request = &self.arena.requests[&call.request];
             let rank = self.deployment.kinds[request.kind].class_rank;
-            let invested = call.work_before > Duration::ZERO;
+            let has_prior_work = call.work_before > Duration::ZERO;
             let node = &mut self.nodes[call.from];
             let shedder = &mut node.shedders[service];
             if !shedder.admits(
                 call.step as u64,
                 rank,
                 request.root_request_id,
-                invested,
+                has_prior_work,
                 now,
             ) {
                 self.end_call(key, CallEnd::Refused(refusal(Reason::Shed)));
--- a/crates/hemlocktack-decide/examples/scenarios/driver/world.rs
+++ b/crates/hemlocktack-decide/examples/scenarios/driver/world.rs
@@ -301,8 +301,8 @@
     let mut admission = Admission::new(AdmissionPolicy::default(), epoch);
     admission.announced(spec.slots, spec.connections, false, epoch);
     let peer = |node: &usize| {
-        let is_near = places[*node].1 == data_centre;
-        Arc::new(PeerLoad::new(is_near, UpstreamState::Ready, epoch))
+        let is_local = places[*node].1 == data_centre;
+        Arc::new(PeerLoad::new(is_local, UpstreamState::Ready, epoch))
     };
     let budget = |_| EdgeRetryBudget::new(RetryPolicy::default(), epoch);
     Node {
--- a/crates/hemlocktack-decide/src/admission.rs
+++ b/crates/hemlocktack-decide/src/admission.rs
@@ -1,4 +1,4 @@
-//! Admission on the node beside an upstream: run, queue or refuse each call.
+//! Admission on the node beside an upstream: each call runs, is queued or is refused.
 
 mod learn;
 mod offered;
@@ -17,37 +17,36 @@
 };
 use crate::policy::AdmissionPolicy;
 use crate::quarantine::{Quarantine, QuarantineStatus};
-use crate::queue::{ClassQueue, Waiting};
+use crate::queue::{ClassQueue, QueuedCall};
 use crate::shed::{Pressure, ShedController, ShedLevel};
 use crate::suspects::SuspectQueue;
-use crate::work::WorkTable;
+use crate::work::WorkEstimates;
 
 #[derive(Clone, Copy, Debug)]
 struct Running {
     kind: WorkKind,
     fingerprint: Fingerprint,
     started: Instant,
-    /// Time in which its answer is wanted, from its offer on.
+    /// Time allowed for the answer, measured from the offer.
     objective: Option<Duration>,
     has_returned: bool,
 }
 
-/// All decisions of one node about calls to its upstream.
+/// All decisions of one node on calls to its upstream.
 ///
-/// Load: any. Harm: an upstream with more calls than slots serves all of them
-/// late. Only this node hands calls to the upstream, so its count of what runs
-/// is exact, whatever the upstream's own reports say.
+/// An upstream with more calls than slots serves all of them late. Only this node sends calls to
+/// the upstream, so its count of running calls is exact, whatever the upstream reports.
 #[derive(Debug)]
 pub struct Admission {
     policy: AdmissionPolicy,
     state: UpstreamState,
-    refuse_with: Reason,
+    refusal_reason: Reason,
     slots: u32,
     connections: u32,
     limit: ConcurrencyLimit,
-    /// Holds instead of `limit` where operators state objectives.
+    /// Replaces `limit` where operators set latency objectives.
     objective_limit: Option<ObjectiveLimit>,
-    work: WorkTable,
+    work: WorkEstimates,
     queue: ClassQueue,
     suspects: SuspectQueue,
     running: HashMap<CallId, Running>,
@@ -56,36 +55,36 @@
     refusals: Vec<QueueDecision>,
     swept_at: Instant,
     probed_at: Option<Instant>,
-    strict: Option<Strict>,
-    standing_since: Option<Instant>,
+    hold_back: Option<HoldBack>,
+    long_queue_since: Option<Instant>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Strict {
+struct HoldBack {
     class: usize,
     until: Instant,
 }
 
-/// Coming back does not help a call that crashes upstreams.
+/// Has no Retry-After: a retry does not help a request that crashes upstreams.
 const QUARANTINED: Refusal = Refusal {
     reason: Reason::Quarantined,
     retry_after: None,
 };
-/// Calls that the maps hold without growing: the largest upstream of today has
-/// 1,200 connections; larger ones grow them once.
+/// Calls that the maps hold without reallocating: the largest upstream has 1,200 connections;
+/// larger ones cause one reallocation.
 const RUNNING_CAPACITY: usize = 2048;
 
 impl Admission {
-    /// For an upstream that has not announced itself yet.
+    /// Creates the admission of an upstream that has not announced itself yet.
     pub fn new(policy: AdmissionPolicy, now: Instant) -> Self {
         Admission {
             state: UpstreamState::Absent,
-            refuse_with: Reason::NoUpstream,
+            refusal_reason: Reason::NoUpstream,
             slots: 0,
             connections: 0,
             limit: ConcurrencyLimit::new(policy.limit, 1, 1, false, now),
             objective_limit: None,
-            work: WorkTable::new(now),
+            work: WorkEstimates::new(now),
             queue: ClassQueue::new(RUNNING_CAPACITY),
             suspects: SuspectQueue::new(),
             running: HashMap::with_capacity(RUNNING_CAPACITY),
@@ -94,14 +93,14 @@
             refusals: Vec::with_capacity(RUNNING_CAPACITY),
             swept_at: now,
             probed_at: None,
-            strict: None,
-            standing_since: None,
+            hold_back: None,
+            long_queue_since: None,
             policy,
         }
     }
 
-    /// The upstream announced itself or renewed its announcement. A renewal
-    /// with unchanged numbers keeps what has been learnt.
+    /// Applies an announcement or its renewal. A renewal with unchanged numbers keeps the learnt
+    /// state.
     pub fn announced(&mut self, slots: u32, connections: u32, cold: bool, now: Instant) {
         let was_here = matches!(self.state, UpstreamState::Ready | UpstreamState::Cold);
         if was_here && slots == self.slots && connections == self.connections {
@@ -118,22 +117,22 @@
         self.state = UpstreamState::Ready;
     }
 
-    /// The upstream takes nothing new. Calls that wait here were accepted: they
-    /// still run, which takes less than a queue's delay.
+    /// Stops accepting calls. Queued calls were accepted and still run, which takes no longer
+    /// than the queue's delay.
     pub fn drain(&mut self, reason: Reason) {
         self.state = UpstreamState::Draining;
-        self.refuse_with = reason;
+        self.refusal_reason = reason;
     }
 
-    /// The upstream's announcement lapsed: nothing can be handed to it.
+    /// Handles an expired announcement: no calls can be sent to the upstream.
     pub fn lost(&mut self, now: Instant) {
         self.state = UpstreamState::Absent;
-        self.refuse_with = Reason::NoUpstream;
+        self.refusal_reason = Reason::NoUpstream;
         self.refuse_queued(Reason::NoUpstream, |_| true, now);
     }
 
-    /// The upstream died. Every call that ran in it goes into `ended`, and
-    /// [`Admission::finish`] is not to be called for it.
+    /// Handles a crash of the upstream. Adds every running call to `ended`; do not call
+    /// [`Admission::finish`] for these.
     pub fn crashed(&mut self, ended: &mut Vec<CallId>, now: Instant) {
         let suspect = self.suspects.take_running();
         let suspect = suspect.and_then(|call_id| self.running.get(&call_id));
@@ -143,32 +142,32 @@
         ended.extend(self.running.drain().map(|(call_id, _)| call_id));
     }
 
-    /// Load report of the upstream.
+    /// Applies a load report of the upstream.
     pub fn report_load(&mut self, in_flight: u32, slots: u32) {
         self.limit.report_load(in_flight, slots);
     }
 
-    /// A call asks for a slot.
+    /// Requests a slot for a call.
     pub fn offer(&mut self, offer: &OfferedCall, now: Instant) -> AdmissionDecision {
         self.end_interval_if_due(now);
         if !matches!(self.state, UpstreamState::Ready | UpstreamState::Cold) {
-            return AdmissionDecision::Refused(self.refusal(self.refuse_with, offer.call_id));
+            return AdmissionDecision::Refused(self.refusal(self.refusal_reason, offer.call_id));
         }
         self.shed.arrived(offer.class_rank, offer.root_request_id);
         match self.quarantine.status(offer.fingerprint, now) {
-            QuarantineStatus::Clear => self.offer_free(offer, now),
+            QuarantineStatus::Clear => self.run_or_queue(offer, now),
             QuarantineStatus::Quarantined => AdmissionDecision::Refused(QUARANTINED),
-            QuarantineStatus::Suspected => self.offer_suspect(offer, now),
+            QuarantineStatus::Suspected => self.queue_suspect(offer, now),
         }
     }
 
-    /// A running call ended; `time_below` is the part of its time in which it
-    /// waited for deeper calls. Call [`Admission::take_decisions`] next.
+    /// Records the end of a running call; `child_wait` is the time it spent waiting for child
+    /// calls. Call [`Admission::take_decisions`] next.
     pub fn finish(
         &mut self,
         call_id: CallId,
         ended: RunResult,
-        time_below: Duration,
+        child_wait: Duration,
         now: Instant,
     ) {
         let Some(call) = self.running.remove(&call_id) else {
@@ -178,20 +177,20 @@
         match ended {
             RunResult::Answered => {
                 self.quarantine.finished(call.fingerprint);
-                self.learn_from(&call, time_below, now);
+                self.record_answer(&call, child_wait, now);
             }
             RunResult::ShedByUpstream => self.limit.upstream_shed(now),
             RunResult::AnsweredWithFailure => self.quarantine.finished(call.fingerprint),
             RunResult::ChildLackedCapacity => {
                 self.quarantine.finished(call.fingerprint);
-                self.learn_lack_of_room(&call, time_below, now);
+                self.record_lack_of_capacity(&call, child_wait, now);
             }
-            // A failed or cancelled call was cut short: its time says nothing.
+            // A failed or cancelled call was cut short, so its duration is not used.
             RunResult::Failed | RunResult::Cancelled => {}
         }
     }
 
-    /// The caller has gone.
+    /// Cancels a call whose caller has gone.
     pub fn cancel(&mut self, call_id: CallId) -> CancelResult {
         if self.queue.remove(call_id).is_some() {
             return CancelResult::Dequeued;
@@ -205,8 +204,8 @@
         CancelResult::Dequeued
     }
 
-    /// Appends what has become of queued calls. To be called after each finish
-    /// and at [`Admission::next_wake`].
+    /// Appends the decisions on queued calls. Call it after each [`Admission::finish`] and at
+    /// [`Admission::next_wake`].
     pub fn take_decisions(&mut self, now: Instant, decisions: &mut Vec<QueueDecision>) {
         self.end_interval_if_due(now);
         self.sweep_if_due(now);
@@ -220,20 +219,20 @@
         decisions.append(&mut self.refusals);
     }
 
-    /// When [`Admission::take_decisions`] is to be called next if no call ends
-    /// before; `None` while nothing waits.
+    /// Returns when to call [`Admission::take_decisions`] next if no call ends before; `None`
+    /// while nothing is queued.
     pub fn next_wake(&self) -> Option<Instant> {
         if !self.refusals.is_empty() {
             return Some(self.swept_at);
         }
         if !self.queue.is_empty() || !self.suspects.is_empty() {
-            return Some(self.swept_at + self.policy.queue.sweep_every);
+            return Some(self.swept_at + self.policy.queue.sweep_interval);
         }
         (self.shed.level() != ShedLevel::OPEN).then(|| self.shed.next_due())
     }
 
-    /// What replies say of this upstream. `chain_level` is the strictest level
-    /// of the deeper services that the answered call's kind needs.
+    /// Returns the load hint that replies carry. `chain_level` is the strictest level of the
+    /// services that the answered call's kind depends on.
     pub fn hint(&self, chain_level: ShedLevel) -> LoadHint {
         LoadHint {
             in_flight: self.running.len() as u32,
@@ -246,7 +245,7 @@
         }
     }
 
-    /// Where the upstream stands.
+    /// Returns the state of the upstream.
     pub fn state(&self) -> UpstreamState {
         if self.state == UpstreamState::Ready && self.limit.is_cold() {
             UpstreamState::Cold
@@ -255,33 +254,33 @@
         }
     }
 
-    /// Calls that run in the upstream.
+    /// Returns the number of calls running in the upstream.
     pub fn in_flight(&self) -> usize {
         self.running.len()
     }
 
-    /// Calls that wait.
+    /// Returns the number of queued calls.
     pub fn queued(&self) -> usize {
         self.queue.len() + self.suspects.len()
     }
 
-    /// Shed level in force.
+    /// Returns the current shed level.
     pub fn shed_level(&self) -> ShedLevel {
         self.shed.level()
     }
 
-    /// Changes the operators' bound on the queue. What waits beyond a smaller
-    /// one stays: it was taken, and leaves in its turn.
-    pub fn set_queue_limit(&mut self, most: usize) {
-        self.policy.queue.most = most;
+    /// Changes the operators' bound on the queue. Calls beyond a smaller bound were already
+    /// accepted and stay queued.
+    pub fn set_queue_limit(&mut self, max_calls: usize) {
+        self.policy.queue.max_calls = max_calls;
     }
 
-    /// Crash quarantine, to exchange news with other nodes.
+    /// Returns the crash quarantine, to exchange updates with other nodes.
     pub fn quarantine(&mut self) -> &mut Quarantine {
         &mut self.quarantine
     }
 
-    /// Calls that may run at once.
+    /// Returns how many calls may run at once.
     fn current_limit(&self) -> u32 {
         self.objective_limit
             .as_ref()
@@ -292,7 +291,7 @@
         self.running.len() < self.current_limit() as usize
     }
 
-    fn start(&mut self, call: &Waiting, now: Instant) {
+    fn start(&mut self, call: &QueuedCall, now: Instant) {
         self.running.insert(
             call.call_id,
             Running {
@@ -309,11 +308,11 @@
     }
 
     fn end_interval_if_due(&mut self, now: Instant) {
-        if !self.shed.due(now) {
+        if !self.shed.is_interval_due(now) {
             return;
         }
         let pressure = Pressure {
-            queued_up_to: self.queue.queued_up_to(),
+            cumulative_queued: self.queue.cumulative_queued(),
             queue_bound: self.queue_bound(),
             in_flight: self.running.len(),
             limit: self.current_limit(),
@@ -321,23 +320,23 @@
         };
         self.shed.end_interval(&pressure, now);
         let is_long = self.queue.len() * 2 > self.queue_bound();
-        self.standing_since = is_long.then(|| self.standing_since.unwrap_or(now));
+        self.long_queue_since = is_long.then(|| self.long_queue_since.unwrap_or(now));
     }
 
-    /// Time until `calls` calls have started.
+    /// Returns the expected time until `calls` calls have started.
     fn wait_for(&self, calls: usize) -> Duration {
         let per_call = self.work.expected_any() / self.current_limit().max(1);
         per_call.mul_f64(calls as f64)
     }
 
     fn probe(&mut self, now: Instant) -> bool {
-        let every = self.policy.queue.probe_every;
-        let due = self
+        let every = self.policy.queue.probe_interval;
+        let is_interval_due = self
             .probed_at
             .is_none_or(|at| now.saturating_duration_since(at) >= every);
-        if due {
+        if is_interval_due {
             self.probed_at = Some(now);
         }
-        due
+        is_interval_due
     }
 }
--- a/crates/hemlocktack-decide/src/admission/learn.rs
+++ b/crates/hemlocktack-decide/src/admission/learn.rs
@@ -1,49 +1,51 @@
-//! What the ends of calls say of the limit and of the times that calls take.
+//! Updates the limits and the estimates from finished calls.
 
 use std::time::{Duration, Instant};
 
 use super::{Admission, Running};
-use crate::limit::WindowEnd;
+use crate::limit::WindowOutcome;
 
-/// A call that comes with next to none of its objective left says nothing about
-/// the limit; this bounds what it weighs.
-const LEAST_OBJECTIVE_SECS: f64 = 0.01;
+/// Lower bound on the objective used to compute shares, which limits the weight of a call that
+/// arrives with almost none of its objective left.
+const MIN_OBJECTIVE_SECS: f64 = 0.01;
 
 impl Admission {
-    pub(super) fn learn_from(&mut self, call: &Running, time_below: Duration, now: Instant) {
+    pub(super) fn record_answer(&mut self, call: &Running, child_wait: Duration, now: Instant) {
         let total = now.saturating_duration_since(call.started);
-        let own = total.saturating_sub(time_below);
+        let own = total.saturating_sub(child_wait);
         let ratio = self.work.observe(call.kind, total, own, now);
         if self.objective_limit.is_some() {
-            self.observe_root(call, time_below, now, |_, below| below);
+            self.observe_root_run(call, child_wait, now, |_, below| below);
             return;
         }
-        if self.limit.observe(ratio, call.started, now) == WindowEnd::FloorIsStale {
-            self.work.adopt_floors();
+        if self.limit.observe(ratio, call.started, now) == WindowOutcome::BaselineIsStale {
+            self.work.adopt_baselines();
         }
     }
 
-    /// Load: more roots than a service below can finish. Harm: nearly all of them
-    /// fail there, half way, and the few that are answered in time say that all
-    /// is well: the limit stays, and the service below goes on working for
-    /// requests that fail. So one that found no room below counts as if it had
-    /// waited there for the rest of its objective.
-    pub(super) fn learn_lack_of_room(
+    /// Records a root request that failed because a child call was refused for lack of capacity.
+    ///
+    /// When there are more root requests than a service deeper in the chain can finish, nearly
+    /// all of them fail there halfway, and the few that are answered in time suggest that all is
+    /// well. The limit would stay unchanged, and that service would keep working for requests
+    /// that fail. Such a request therefore counts as if it had waited for the rest of its
+    /// objective.
+    pub(super) fn record_lack_of_capacity(
         &mut self,
         call: &Running,
-        time_below: Duration,
+        child_wait: Duration,
         now: Instant,
     ) {
-        self.observe_root(call, time_below, now, |own, below| below.max(1.0 - own));
+        self.observe_root_run(call, child_wait, now, |own, below| below.max(1.0 - own));
     }
 
-    /// Tells the limit by objectives which shares of its objective a root request
-    /// took itself and, by `share_below` of both, waited below. A rest of an
-    /// objective says nothing about the limit.
-    fn observe_root(
+    /// Reports to the objective limit the shares of its objective that a root request spent on
+    /// its own work and, computed from both by `share_below`, waiting for child calls. Requests
+    /// that were retried have only part of their objective left and are ignored.
+    fn observe_root_run(
         &mut self,
         call: &Running,
-        time_below: Duration,
+        child_wait: Duration,
         now: Instant,
         share_below: impl Fn(f64, f64) -> f64,
     ) {
@@ -54,8 +56,8 @@
             return;
         };
         let total = now.saturating_duration_since(call.started);
-        let own = total.saturating_sub(time_below);
-        let whole_secs = objective.as_secs_f64().max(LEAST_OBJECTIVE_SECS);
+        let own = total.saturating_sub(child_wait);
+        let whole_secs = objective.as_secs_f64().max(MIN_OBJECTIVE_SECS);
         let own_share = own.as_secs_f64() / whole_secs;
         let below_share = (total - own).as_secs_f64() / whole_secs;
         limit.observe(total, own_share, share_below(own_share, below_share), now);
--- a/crates/hemlocktack-decide/src/admission/offered.rs
+++ b/crates/hemlocktack-decide/src/admission/offered.rs
@@ -1,4 +1,4 @@
-//! What becomes of a call that is offered: it runs, waits or is refused.
+//! Decides whether an offered call runs, waits or is refused.
 
 use std::time::{Duration, Instant};
 
@@ -6,50 +6,58 @@
 
 use super::Admission;
 use crate::offer::{AdmissionDecision, OfferedCall, QueueDecision};
-use crate::queue::{Waiting, class_of};
+use crate::queue::{QueuedCall, class_of};
 
 impl Admission {
-    pub(super) fn offer_free(&mut self, offer: &OfferedCall, now: Instant) -> AdmissionDecision {
+    pub(super) fn run_or_queue(&mut self, offer: &OfferedCall, now: Instant) -> AdmissionDecision {
         if self.has_free_slot() && self.queue.is_empty() {
-            return self.offer_idle(offer, now);
+            return self.run_in_free_slot(offer, now);
         }
-        self.limit.note_saturated();
+        self.limit.mark_saturated();
         if let Some(limit) = &mut self.objective_limit {
-            limit.note_saturated();
+            limit.mark_saturated();
         }
         let class = class_of(offer.class_rank);
-        let invested = offer.work_spent > Duration::ZERO;
-        let ahead = self.queue.ahead_of(class, invested);
-        let waiting = Waiting::from_offer(offer, now);
+        let has_prior_work = offer.work_spent > Duration::ZERO;
+        let ahead = self.queue.calls_ahead_of(class, has_prior_work);
+        let waiting = QueuedCall::from_offer(offer, now);
         let wait = self.wait_for(ahead + 1);
         let is_long = waiting
             .objective
-            .is_some_and(|objective| wait > objective.mul_f64(self.policy.queue.wait_share));
+            .is_some_and(|objective| wait > objective.mul_f64(self.policy.queue.max_wait_share));
         if is_long
-            || self.is_late_anyway(&waiting, now)
-            || self.is_hopeless(offer.kind, waiting.deadline, wait, now)
+            || self.has_returned_too_late(&waiting, now)
+            || self.misses_deadline(offer.kind, waiting.deadline, wait, now)
         {
-            return AdmissionDecision::Refused(self.refusal_of(
+            return AdmissionDecision::Refused(self.refusal_within_objective(
                 Reason::DeadlineTooShort,
                 &waiting,
                 now,
             ));
         }
-        if self.is_shed(offer, class, invested, now) {
-            return AdmissionDecision::Refused(self.refusal_of(Reason::Shed, &waiting, now));
+        if self.is_shed(offer, class, has_prior_work, now) {
+            return AdmissionDecision::Refused(self.refusal_within_objective(
+                Reason::Shed,
+                &waiting,
+                now,
+            ));
         }
-        if !self.make_room(class, invested) {
+        if !self.make_room(class, has_prior_work) {
             self.hold_back_below(class, now);
-            return AdmissionDecision::Refused(self.refusal_of(Reason::QueueFull, &waiting, now));
+            return AdmissionDecision::Refused(self.refusal_within_objective(
+                Reason::QueueFull,
+                &waiting,
+                now,
+            ));
         }
         self.queue.push(waiting);
         AdmissionDecision::Queued
     }
 
-    /// A slot is free and nobody waits. Load: none. Harm: refusing here would
-    /// keep capacity back for nobody; so only a call that has no chance at all
-    /// is refused, and one of those is run now and then to correct the estimate.
-    fn offer_idle(&mut self, offer: &OfferedCall, now: Instant) -> AdmissionDecision {
+    /// Handles a call when a slot is free and no call is queued. A refusal here would reserve
+    /// capacity for nobody, so only a call without any chance to finish in time is refused, and
+    /// one of these runs occasionally to correct the estimate.
+    fn run_in_free_slot(&mut self, offer: &OfferedCall, now: Instant) -> AdmissionDecision {
         let expected = self.work.expected(offer.kind, now);
         let time_left = offer.deadline.saturating_duration_since(now);
         if time_left < expected / 2 && !self.probe(now) {
@@ -57,24 +65,24 @@
                 self.refusal(Reason::DeadlineTooShort, offer.call_id),
             );
         }
-        self.start(&Waiting::from_offer(offer, now), now);
+        self.start(&QueuedCall::from_offer(offer, now), now);
         AdmissionDecision::Run
     }
 
-    pub(super) fn offer_suspect(&mut self, offer: &OfferedCall, now: Instant) -> AdmissionDecision {
-        if !self.suspects.push(Waiting::from_offer(offer, now)) {
+    pub(super) fn queue_suspect(&mut self, offer: &OfferedCall, now: Instant) -> AdmissionDecision {
+        if !self.suspects.push(QueuedCall::from_offer(offer, now)) {
             return AdmissionDecision::Refused(self.refusal(Reason::Quarantined, offer.call_id));
         }
         AdmissionDecision::Queued
     }
 
-    fn make_room(&mut self, class: usize, invested: bool) -> bool {
-        // A queue full of deeper calls keeps no fresh one from its turn.
-        let has_turn = !invested && self.queue.has_turn(class);
-        if self.queue.len() < self.queue_bound() || has_turn {
+    fn make_room(&mut self, class: usize, has_prior_work: bool) -> bool {
+        // A queue full of calls with prior work must not block a fresh call that has its turn.
+        let has_fresh_turn = !has_prior_work && self.queue.has_fresh_turn(class);
+        if self.queue.len() < self.queue_bound() || has_fresh_turn {
             return true;
         }
-        let Some(evicted) = self.queue.evict_below(class, invested) else {
+        let Some(evicted) = self.queue.evict_less_important(class, has_prior_work) else {
             return false;
         };
         let refusal = self.refusal(Reason::QueueFull, evicted.call_id);
@@ -84,9 +92,9 @@
     }
 
     pub(super) fn queue_bound(&self) -> usize {
-        let bound = f64::from(self.current_limit()) * self.policy.queue.per_slot;
+        let bound = f64::from(self.current_limit()) * self.policy.queue.calls_per_slot;
         (bound as usize)
-            .max(self.policy.queue.least)
-            .min(self.policy.queue.most)
+            .max(self.policy.queue.min_calls)
+            .min(self.policy.queue.max_calls)
     }
 }
--- a/crates/hemlocktack-decide/src/admission/refuse.rs
+++ b/crates/hemlocktack-decide/src/admission/refuse.rs
@@ -1,31 +1,30 @@
-//! Which calls come too late, and what a refused caller is told.
+//! Decides which calls are too late, and builds refusals.
 
 use std::time::{Duration, Instant};
 
 use hemlocktack_protocol::{CallId, Reason, Refusal};
 
-use super::{Admission, Strict};
+use super::{Admission, HoldBack};
 use crate::mix::mix;
 use crate::offer::{OfferedCall, WorkKind};
-use crate::queue::Waiting;
+use crate::queue::QueuedCall;
 use crate::retry_after::{cap_to_objective, retry_after};
 
 impl Admission {
-    /// Whether a caller who came back cannot be answered in time any more.
+    /// Returns whether a caller that retried cannot be answered in time any more.
     ///
-    /// Load: more than there is room for, with callers who come back. Harm: a
-    /// slot that answers it late is taken from one that could be answered in
-    /// time. Fresh requests are never held to this: where even they are late,
-    /// late answers are all that there is to give.
-    pub(super) fn is_late_anyway(&self, call: &Waiting, now: Instant) -> bool {
+    /// Under overload with retrying callers, a slot used for a late answer is taken from a
+    /// request that could be answered in time. First attempts are never refused for this reason:
+    /// if even those are late, late answers are all that the service can give.
+    pub(super) fn has_returned_too_late(&self, call: &QueuedCall, now: Instant) -> bool {
         let expected = self.work.expected(call.kind, now);
         call.has_returned && call.objective.is_some_and(|objective| objective < expected)
     }
 
-    /// Load: a queue or work too long for the caller's patience. Harm: the
-    /// answer comes after the caller has gone, and its work, here and in the
-    /// hops above, was for nobody.
-    pub(super) fn is_hopeless(
+    /// Returns whether a call is expected to miss its deadline because of the queue or its own
+    /// work. Its answer would come after the caller has timed out, and its work, here and in the
+    /// hops above, would be wasted.
+    pub(super) fn misses_deadline(
         &self,
         kind: WorkKind,
         deadline: Instant,
@@ -48,8 +47,13 @@
         }
     }
 
-    /// A refusal that lets the caller come back in time, where it can.
-    pub(super) fn refusal_of(&self, reason: Reason, call: &Waiting, now: Instant) -> Refusal {
+    /// Returns a refusal whose Retry-After lets the caller be answered in time, if possible.
+    pub(super) fn refusal_within_objective(
+        &self,
+        reason: Reason,
+        call: &QueuedCall,
+        now: Instant,
+    ) -> Refusal {
         let refusal = self.refusal(reason, call.call_id);
         let expected = self.work.expected(call.kind, now);
         let cut = |wait| match call.objective {
@@ -63,7 +67,7 @@
     }
 
     pub(super) fn refusal(&self, reason: Reason, call_id: CallId) -> Refusal {
-        let pressure = self.shed.excess(self.capacity_per_sec());
+        let pressure = self.shed.excess_demand(self.capacity_per_sec());
         Refusal {
             reason,
             retry_after: Some(retry_after(
@@ -74,41 +78,40 @@
         }
     }
 
-    /// Whether the level refuses a call here. The entry has applied the level
-    /// already, a little out of date; so while the queue is short, or is one of
-    /// deeper calls beside which a fresh one has its turn, anything that got
-    /// here is taken.
+    /// Returns whether the shed level refuses a call on this node. The entry has already applied
+    /// a slightly older level. While the queue is short, or consists of calls with prior work
+    /// beside which a fresh call has its turn, every call that got here is therefore accepted.
     pub(super) fn is_shed(
         &self,
         offer: &OfferedCall,
         class: usize,
-        invested: bool,
+        has_prior_work: bool,
         now: Instant,
     ) -> bool {
         let below_refused = self
-            .strict
-            .is_some_and(|strict| class > strict.class && now < strict.until);
+            .hold_back
+            .is_some_and(|hold_back| class > hold_back.class && now < hold_back.until);
         if below_refused {
             return true;
         }
-        let standing = f64::from(self.current_limit()) * self.policy.shed.target_queue;
-        let is_short = (self.queue.len() as f64) < standing.max(1.0);
+        let target_queue = f64::from(self.current_limit()) * self.policy.shed.target_queue_share;
+        let is_short = (self.queue.len() as f64) < target_queue.max(1.0);
         let level = self.shed.level();
         !is_short
-            && !invested
-            && !self.queue.has_turn(class)
+            && !has_prior_work
+            && !self.queue.has_fresh_turn(class)
             && !level.admits(offer.class_rank, offer.root_request_id)
     }
 
-    /// Load: a queue full of important calls. Harm: a slot that frees up goes
-    /// to a less important call that came just after an important one was
-    /// refused. One interval of the shed level is enough: by then the entries
-    /// hold the less important ones back.
+    /// Stops queueing less important classes for a while after an important call was refused
+    /// because the queue is full of important calls. Otherwise the next free slot would go to a
+    /// less important call that arrives just after the refusal. One interval of the shed level
+    /// is enough: by then the entries hold those calls back.
     pub(super) fn hold_back_below(&mut self, class: usize, now: Instant) {
-        let held = self.strict.filter(|strict| now < strict.until);
-        self.strict = Some(Strict {
-            class: held.map_or(class, |strict| strict.class.min(class)),
-            until: now + self.policy.queue.strict_for,
+        let held = self.hold_back.filter(|hold_back| now < hold_back.until);
+        self.hold_back = Some(HoldBack {
+            class: held.map_or(class, |hold_back| hold_back.class.min(class)),
+            until: now + self.policy.queue.hold_back_for,
         });
     }
 }
--- a/crates/hemlocktack-decide/src/admission/waiting.rs
+++ b/crates/hemlocktack-decide/src/admission/waiting.rs
@@ -1,4 +1,4 @@
-//! What becomes of calls that wait: the next one runs, others are given up.
+//! Decides which queued calls run and which are refused.
 
 use std::time::{Duration, Instant};
 
@@ -7,21 +7,23 @@
 use super::{Admission, QUARANTINED};
 use crate::offer::QueueDecision;
 use crate::quarantine::QuarantineStatus;
-use crate::queue::Waiting;
+use crate::queue::QueuedCall;
 
-/// A queue that has been above half its bound for this long will not be worked
-/// off in time for its oldest calls: the newest run first until it is.
-const STANDING_AFTER: Duration = Duration::from_millis(200);
+/// After a queue has been above half its bound for this long, it will not be drained in time for
+/// its oldest calls: the newest calls run first until it is.
+const NEWEST_FIRST_AFTER: Duration = Duration::from_millis(200);
 
 impl Admission {
-    pub(super) fn next_call(&mut self, now: Instant) -> Option<Waiting> {
+    pub(super) fn next_call(&mut self, now: Instant) -> Option<QueuedCall> {
         if let Some(call) = self.next_suspect(now) {
             self.start(&call, now);
             return Some(call);
         }
         while self.has_free_slot() {
-            let call = self.queue.pop(self.is_standing(now))?;
-            if self.is_hopeless(call.kind, call.deadline, Duration::ZERO, now) && !self.probe(now) {
+            let call = self.queue.pop(self.is_queue_long(now))?;
+            if self.misses_deadline(call.kind, call.deadline, Duration::ZERO, now)
+                && !self.probe(now)
+            {
                 let refusal = self.refusal(Reason::QueueTimeout, call.call_id);
                 self.refusals
                     .push(QueueDecision::Refuse(call.call_id, refusal));
@@ -33,9 +35,9 @@
         None
     }
 
-    /// A call that was convicted while it waited is refused, or each of its
-    /// copies would cost one more upstream.
-    fn next_suspect(&mut self, now: Instant) -> Option<Waiting> {
+    /// Returns the next suspected call to run. A call whose fingerprint was quarantined while it
+    /// waited is refused, since each copy could crash one more upstream.
+    fn next_suspect(&mut self, now: Instant) -> Option<QueuedCall> {
         while self.has_free_slot() {
             let call = self.suspects.next()?;
             match self.quarantine.status(call.fingerprint, now) {
@@ -52,13 +54,13 @@
         None
     }
 
-    fn is_standing(&self, now: Instant) -> bool {
-        self.standing_since
-            .is_some_and(|since| now.saturating_duration_since(since) >= STANDING_AFTER)
+    fn is_queue_long(&self, now: Instant) -> bool {
+        self.long_queue_since
+            .is_some_and(|since| now.saturating_duration_since(since) >= NEWEST_FIRST_AFTER)
     }
 
     pub(super) fn sweep_if_due(&mut self, now: Instant) {
-        if now.saturating_duration_since(self.swept_at) < self.policy.queue.sweep_every {
+        if now.saturating_duration_since(self.swept_at) < self.policy.queue.sweep_interval {
             return;
         }
         self.swept_at = now;
@@ -68,12 +70,12 @@
     pub(super) fn refuse_queued(
         &mut self,
         reason: Reason,
-        which: impl Fn(&Waiting) -> bool,
+        which: impl Fn(&QueuedCall) -> bool,
         now: Instant,
     ) {
         let mut gone = Vec::new();
-        self.queue.take_hopeless(&which, |call| gone.push(call));
-        self.suspects.take_hopeless(&which, |call| gone.push(call));
+        self.queue.take_matching(&which, |call| gone.push(call));
+        self.suspects.take_matching(&which, |call| gone.push(call));
         self.swept_at = now;
         for call in gone {
             let refusal = self.refusal(reason, call.call_id);
--- a/crates/hemlocktack-decide/src/edge_budgets.rs
+++ b/crates/hemlocktack-decide/src/edge_budgets.rs
@@ -1,4 +1,4 @@
-//! The retry budgets of one node, an edge for each service.
+//! The retry budgets of one node: one edge per called service.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -7,23 +7,22 @@
 use hemlocktack_protocol::ServiceName;
 
 use crate::edge_budget::EdgeRetryBudget;
-use crate::retry::{LEAST_RETRIES_MAX, RetryPolicy};
+use crate::retry::{MAX_MIN_RETRIES, RetryPolicy};
 
-/// [`FleetRetryLimits::min_retries`] where operators say nothing: about the calls that
-/// a service has under way when half of its nodes are lost at once.
-const BESIDE_SHARE_DEFAULT: u32 = 136;
+/// Default of [`FleetRetryLimits::min_retries`]: about the number of calls in flight to a
+/// service when half of its nodes are lost at once.
+const DEFAULT_MIN_RETRIES: u32 = 136;
 
-/// How long an edge outlives the last node of its service: longer than the windows
+/// How long an edge is kept after the last node of its service has left: longer than the windows
 /// over which retries are counted.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(20);
+const EDGE_RETENTION: Duration = Duration::from_secs(20);
 
-/// Retries that operators allow of a service's calls in any ten seconds, all nodes
-/// together.
+/// Operators' limits on the retries of calls to a service in any ten seconds, over all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetRetryLimits {
-    /// Per thousand first tries.
+    /// Retries per thousand first attempts.
     pub share_per_mille: u32,
-    /// Beside the share, however few first tries there are.
+    /// Retries allowed regardless of the share, however few first attempts there are.
     pub min_retries: u32,
 }
 
@@ -31,83 +30,83 @@
     fn default() -> Self {
         FleetRetryLimits {
             share_per_mille: RetryPolicy::default().share_per_mille,
-            min_retries: BESIDE_SHARE_DEFAULT,
+            min_retries: DEFAULT_MIN_RETRIES,
         }
     }
 }
 
 impl FleetRetryLimits {
-    /// One node's part of the retries beside the share.
+    /// Returns one node's part of `min_retries`.
     ///
-    /// Load: many nodes, each with a few calls to a service whose answers are lost.
-    /// Harm: retries that each node makes whatever its share add up with the size of
-    /// the fleet (136 at seventeen nodes, 4,480 at 560), and a small service gets
-    /// them all. Whole parts that add up to what is allowed need nobody to count.
-    fn beside_share_of(&self, place: NodePosition) -> u32 {
-        let nodes = u32::try_from(place.count.max(1)).unwrap_or(u32::MAX);
+    /// If each node made a fixed number of retries whatever its share, the total would grow with
+    /// the fleet (136 with seventeen nodes, 4,480 with 560), and a small service would get all
+    /// of them. Dividing the total into whole parts bounds the sum without coordination between
+    /// nodes.
+    fn node_min_retries(&self, position: NodePosition) -> u32 {
+        let nodes = u32::try_from(position.count.max(1)).unwrap_or(u32::MAX);
         let rest = self.min_retries % nodes;
-        let gets_one_more = u32::try_from(place.index).is_ok_and(|index| index < rest);
+        let gets_one_more = u32::try_from(position.index).is_ok_and(|index| index < rest);
         let part = self.min_retries / nodes + u32::from(gets_one_more);
-        part.min(LEAST_RETRIES_MAX)
+        part.min(MAX_MIN_RETRIES)
     }
 }
 
-/// One node among those that may make retries.
+/// Position of a node among those that may make retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodePosition {
-    /// Its number in an order that all nodes agree on.
+    /// Index in an order that all nodes agree on.
     pub index: usize,
-    /// Nodes in that order.
+    /// Number of nodes in that order.
     pub count: usize,
 }
 
 impl NodePosition {
-    /// Of a node that knows no other.
+    /// Position of a node that knows no other nodes.
     pub const ONLY_NODE: NodePosition = NodePosition { index: 0, count: 1 };
 }
 
-/// Edges to the services that a node knows, or has just known.
+/// Budgets of the edges to the services that a node knows or has recently known.
 ///
-/// Load: all nodes of a service are lost and come back seconds later. Harm: an edge
-/// that went with them would begin anew, with its retries unspent, while the service
-/// starts. So it stays until none of its retries counts any more.
+/// If an edge were removed together with the last node of its service, a service whose nodes are
+/// all lost and return seconds later would meet a new edge with an unused budget while it is
+/// starting. An edge is therefore kept until none of its retries counts any more.
 #[derive(Debug)]
 pub struct EdgeRetryBudgets {
-    allowed: FleetRetryLimits,
-    place: NodePosition,
+    limits: FleetRetryLimits,
+    position: NodePosition,
     edges: HashMap<ServiceName, Edge>,
 }
 
 #[derive(Debug)]
 struct Edge {
     budget: Arc<EdgeRetryBudget>,
-    /// Since when its service has had no node; `None` while it has some.
+    /// Since when its service has had no nodes; `None` while it has some.
     absent_since: Option<Instant>,
 }
 
 impl EdgeRetryBudgets {
-    /// No edge yet.
-    pub fn new(allowed: FleetRetryLimits, place: NodePosition) -> Self {
+    /// Creates an empty set of edges.
+    pub fn new(limits: FleetRetryLimits, position: NodePosition) -> Self {
         EdgeRetryBudgets {
-            allowed,
-            place,
+            limits,
+            position,
             edges: HashMap::new(),
         }
     }
 
-    /// Takes in what operators allow, for every edge.
-    pub fn set_limits(&mut self, allowed: FleetRetryLimits) {
-        self.allowed = allowed;
+    /// Sets the operators' limits for every edge.
+    pub fn set_limits(&mut self, limits: FleetRetryLimits) {
+        self.limits = limits;
         self.set_policies();
     }
 
-    /// Takes in where this node stands among the others.
-    pub fn set_position(&mut self, place: NodePosition) {
-        self.place = place;
+    /// Sets the position of this node among the others.
+    pub fn set_position(&mut self, position: NodePosition) {
+        self.position = position;
         self.set_policies();
     }
 
-    /// Takes in which services have nodes now.
+    /// Updates which services currently have nodes.
     pub fn retain(&mut self, is_known: impl Fn(&str) -> bool, now: Instant) {
         self.edges.retain(|service, edge| {
             if is_known(service) {
@@ -115,11 +114,11 @@
                 return true;
             }
             let absent_since = *edge.absent_since.get_or_insert(now);
-            now.saturating_duration_since(absent_since) < FORGOTTEN_AFTER
+            now.saturating_duration_since(absent_since) < EDGE_RETENTION
         });
     }
 
-    /// The edge to a service.
+    /// Returns the edge to a service, creating it if necessary.
     pub fn edge(&mut self, service: &ServiceName, now: Instant) -> Arc<EdgeRetryBudget> {
         let policy = self.policy();
         let fresh = || Edge {
@@ -134,14 +133,14 @@
         let policy = self.policy();
         for edge in self.edges.values() {
             edge.budget.set_share_per_mille(policy.share_per_mille);
-            edge.budget.set_least_retries(policy.least_retries);
+            edge.budget.set_min_retries(policy.min_retries);
         }
     }
 
     fn policy(&self) -> RetryPolicy {
         RetryPolicy {
-            share_per_mille: self.allowed.share_per_mille,
-            least_retries: self.allowed.beside_share_of(self.place),
+            share_per_mille: self.limits.share_per_mille,
+            min_retries: self.limits.node_min_retries(self.position),
         }
     }
 }
--- a/crates/hemlocktack-decide/src/follow.rs
+++ b/crates/hemlocktack-decide/src/follow.rs
@@ -1,4 +1,4 @@
-//! The admission follows what the upstream's announcements have come to.
+//! Synchronizes the admission with the state of its upstream.
 
 use std::time::Instant;
 
@@ -7,14 +7,13 @@
 use crate::Admission;
 
 impl Admission {
-    /// Brings the admission to the state that the upstream's announcements have
-    /// come to, whatever they were.
+    /// Sets the admission to the current state of the upstream, whatever events led to it.
     ///
-    /// Failure: an announcement and a drain come at once; each reads the state,
-    /// and the announcement, decided before the drain, is carried out after it:
-    /// a leaving upstream gets new work. The state is an argument here, to be
-    /// read under the lock that orders those events and is held over this call,
-    /// so the admission ends where the last of them left the state.
+    /// An announcement and a drain may arrive at the same time. If each read the state and then
+    /// applied its own event, the announcement could be applied after the drain, and an upstream
+    /// that is leaving would get new calls. The caller therefore reads the state under the lock
+    /// that orders these events and holds that lock during this call, so that the admission ends
+    /// in the latest state.
     pub fn sync_upstream_state(
         &mut self,
         upstream: UpstreamState,
--- a/crates/hemlocktack-decide/src/lib.rs
+++ b/crates/hemlocktack-decide/src/lib.rs
@@ -1,8 +1,8 @@
-//! Decisions under load: admit, queue, refuse, place, retry, shed.
+//! Overload decisions: admission, queueing, refusal, placement, retries and load shedding.
 //!
-//! Nothing here does input or output, reads a clock or starts a thread: `now`
-//! and random numbers are arguments. README.md shows how a node drives the
-//! pieces for one call.
+//! This crate does no input or output, reads no clock and starts no threads: the current time
+//! and random numbers are arguments. README.md shows how a node uses the components for one
+//! call.
 
 mod admission;
 mod edge_budget;
@@ -32,7 +32,7 @@
 pub use edge_budgets::{EdgeRetryBudgets, FleetRetryLimits, NodePosition};
 pub use limit::{ConcurrencyLimit, LimitPolicy};
 pub use link_watch::{LinkAction, LinkMonitor, LinkMonitorPolicy};
-pub use moves::Moves;
+pub use moves::MoveCounter;
 pub use objective_limit::ObjectiveLimitPolicy;
 pub use offer::{AdmissionDecision, CancelResult, OfferedCall, QueueDecision, RunResult, WorkKind};
 pub use peer_load::PeerLoad;
--- a/crates/hemlocktack-decide/src/link_watch.rs
+++ b/crates/hemlocktack-decide/src/link_watch.rs
@@ -1,95 +1,97 @@
-//! Whether the far end of a link is still there, while calls wait on it.
+//! Detects a lost link while calls wait on it.
 
 use std::time::{Duration, Instant};
 
-/// Numbers of [`LinkMonitor`].
+/// Parameters of [`LinkMonitor`].
 #[derive(Clone, Copy, Debug)]
 pub struct LinkMonitorPolicy {
-    /// Silence on a link with calls that wait, after which the far end is asked
-    /// for an echo. Most calls are answered sooner, and cost no echo.
-    pub asked_after: Duration,
-    /// Longest wait for anything from the far end after that. A packet that is
-    /// lost is sent again after 200 ms, so one lost packet is not taken for a
-    /// lost peer; two in a row cost a new connection.
-    pub echo_within: Duration,
-    /// Time between two looks at a link that seems lost: what came while this
-    /// node did not run lies unread until then.
-    pub looked_again_after: Duration,
+    /// Silence on a link with pending calls after which an echo is requested. Most calls are
+    /// answered sooner and need no echo.
+    pub echo_after: Duration,
+    /// Maximum wait for any data from the peer after an echo request. A lost packet is
+    /// retransmitted after 200 ms, so that one lost packet does not count as a lost peer; two in
+    /// a row cost a new connection.
+    pub echo_timeout: Duration,
+    /// Delay before a link that seems lost is checked again, so that data received while this
+    /// node was suspended can be read first.
+    pub recheck_after: Duration,
 }
 
 impl Default for LinkMonitorPolicy {
     fn default() -> Self {
         LinkMonitorPolicy {
-            asked_after: Duration::from_millis(150),
-            echo_within: Duration::from_millis(250),
-            looked_again_after: Duration::from_millis(20),
+            echo_after: Duration::from_millis(150),
+            echo_timeout: Duration::from_millis(250),
+            recheck_after: Duration::from_millis(20),
         }
     }
 }
 
-/// What to do about a link now.
+/// Next action on a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkAction {
-    /// Nothing until then.
+    /// Do nothing until this time.
     Wait(Instant),
-    /// Ask the far end for an echo, and look again then.
+    /// Request an echo from the peer and check again at this time.
     RequestEcho(Instant),
-    /// It is gone, or the way to it.
+    /// The peer or the connection to it is lost.
     Lost,
 }
 
-/// Watches one link for one call that waits on it. Each call has a watch of its
-/// own: what any of them hears counts for all, and the first that gives the link
-/// up closes it for all.
+/// Monitors one link for one call that waits on it. Each call has its own monitor: data received
+/// for any of them counts for all, and the first that finds the link lost closes it for all.
 ///
-/// Load: any; a peer that lost power, stands still or is cut off, or a
-/// connection that a path has forgotten. Harm: nothing says so, and every call
-/// there waits for its caller's whole patience, until the fleet's probes have
-/// come round to the peer; of many lost at once that takes seconds. The far end
-/// answers an echo whatever its upstream does, so silence after one is the
-/// node's or the way's own, and calls learn of it within 0.4 s.
+/// A peer that has lost power, is suspended or is cut off, or a connection dropped on the
+/// network path, gives no sign. Without the monitor, every call on the link would wait for its
+/// caller's full timeout, or until the membership probes reach the peer, which takes seconds
+/// when many peers are lost at once. The peer answers an echo whatever the state of its
+/// upstream, so silence after an echo request means that the node or the path has failed; calls
+/// learn of it within 0.4 s.
 #[derive(Debug)]
 pub struct LinkMonitor {
     policy: LinkMonitorPolicy,
-    asked: Option<Instant>,
+    echo_requested_at: Option<Instant>,
     seemed_lost: bool,
 }
 
 impl LinkMonitor {
-    /// Has not asked yet.
+    /// Creates a monitor that has not requested an echo yet.
     pub fn new(policy: LinkMonitorPolicy) -> Self {
         LinkMonitor {
             policy,
-            asked: None,
+            echo_requested_at: None,
             seemed_lost: false,
         }
     }
 
-    /// To be asked when the wait that was given last is over. `heard` is when
-    /// anything came over the link last, or when the call was sent, whichever is
-    /// later.
+    /// Returns the next action. Call it when the time returned last has passed. `heard` is the
+    /// time of the last data received on the link or the time at which the call was sent,
+    /// whichever is later.
     pub fn check(&mut self, heard: Instant, now: Instant) -> LinkAction {
-        let Some(asked) = self.asked.filter(|asked| heard <= *asked) else {
-            return self.look_for_silence(heard, now);
+        let Some(echo_requested_at) = self
+            .echo_requested_at
+            .filter(|echo_requested_at| heard <= *echo_requested_at)
+        else {
+            return self.check_silence(heard, now);
         };
-        let until = asked + self.policy.echo_within;
+        let until = echo_requested_at + self.policy.echo_timeout;
         if now < until {
             return LinkAction::Wait(until);
         }
         if !std::mem::replace(&mut self.seemed_lost, true) {
-            return LinkAction::Wait(now + self.policy.looked_again_after);
+            return LinkAction::Wait(now + self.policy.recheck_after);
         }
         LinkAction::Lost
     }
 
-    fn look_for_silence(&mut self, heard: Instant, now: Instant) -> LinkAction {
-        self.asked = None;
+    fn check_silence(&mut self, heard: Instant, now: Instant) -> LinkAction {
+        self.echo_requested_at = None;
         self.seemed_lost = false;
-        let until = heard + self.policy.asked_after;
+        let until = heard + self.policy.echo_after;
         if now < until {
             return LinkAction::Wait(until);
         }
-        self.asked = Some(now);
-        LinkAction::RequestEcho(now + self.policy.echo_within)
+        self.echo_requested_at = Some(now);
+        LinkAction::RequestEcho(now + self.policy.echo_timeout)
     }
 }
--- a/crates/hemlocktack-decide/src/moves.rs
+++ b/crates/hemlocktack-decide/src/moves.rs
@@ -1,31 +1,31 @@
-//! How often a call that was not run is put on another node.
+//! Limits on moving a call that was not run to another node.
 
 use hemlocktack_protocol::{Reason, Refusal};
 
 use crate::placement::may_move;
 
-/// Moves of one call after a refusal: the second node is asked because the
-/// first may be the slow one of its data centre; a third would only add calls
-/// to a service that is full.
-const AFTER_REFUSAL: u32 = 1;
-/// Moves of one call to nodes that could not be reached. Where half of a fleet
-/// loses power at once, one of sixteen calls finds a dead node four times in a
-/// row; nobody has worked for it, so it costs nobody but the call itself.
-const AFTER_NO_REACH: u32 = 3;
+/// Maximum moves of one call after refusals. A second node is tried because the first may be the
+/// slow one of its data centre; a third would only add calls to a service that is full.
+const MAX_MOVES_AFTER_REFUSAL: u32 = 1;
+/// Maximum moves of one call away from unreachable nodes. When half of a fleet loses power at
+/// once, one call in sixteen picks a dead node four times in a row. No node has done work for
+/// such a call, so moving it costs nothing but its own time.
+const MAX_MOVES_WHEN_UNREACHABLE: u32 = 3;
 
-/// Moves of one call so far. They are no retries: nothing ran.
+/// Counts the moves of one call. Moves are not retries, since nothing ran.
 #[derive(Debug, Default)]
-pub struct Moves {
+pub struct MoveCounter {
     after_refusal: u32,
-    after_no_reach: u32,
+    when_unreachable: u32,
 }
 
-impl Moves {
-    /// Whether the call may go to another node after this refusal; counts it.
-    pub fn take(&mut self, refusal: &Refusal) -> bool {
+impl MoveCounter {
+    /// Returns whether the call may move to another node after this refusal, and counts the
+    /// move.
+    pub fn try_move(&mut self, refusal: &Refusal) -> bool {
         let (made, most) = match refusal.reason {
-            Reason::LinkLost => (&mut self.after_no_reach, AFTER_NO_REACH),
-            reason if may_move(reason) => (&mut self.after_refusal, AFTER_REFUSAL),
+            Reason::LinkLost => (&mut self.when_unreachable, MAX_MOVES_WHEN_UNREACHABLE),
+            reason if may_move(reason) => (&mut self.after_refusal, MAX_MOVES_AFTER_REFUSAL),
             _ => return false,
         };
         let may = *made < most;
--- a/crates/hemlocktack-decide/src/offer.rs
+++ b/crates/hemlocktack-decide/src/offer.rs
@@ -1,81 +1,81 @@
-//! What goes into the admission and what comes out of it.
+//! Inputs and results of the admission.
 
 use std::time::{Duration, Instant};
 
 use hemlocktack_protocol::{CallId, ClassRank, Fingerprint, Refusal, RootRequestId};
 
-/// Kind of work: any stable number for the request rule that a call matched.
-/// Calls of one kind are expected to take about equally long.
+/// Kind of work: a stable number of the request rule that a call matched. Calls of one kind are
+/// expected to take about equally long.
 pub type WorkKind = u64;
 
-/// A call that asks for a slot.
+/// A call that requests a slot.
 #[derive(Clone, Copy, Debug)]
 pub struct OfferedCall {
-    /// Number that this node gave the call. Senders' own numbers clash.
+    /// Id assigned by this node; ids assigned by different senders may collide.
     pub call_id: CallId,
     /// Class of the root request.
     pub class_rank: ClassRank,
-    /// When the caller gives up.
+    /// When the caller times out.
     pub deadline: Instant,
-    /// Until when an answer is worth most to the caller of a root request;
-    /// `None` for deeper calls and where operators do not say.
+    /// Time by which the caller of a root request wants its answer; `None` for child calls and
+    /// where operators set no objective.
     pub objective: Option<Instant>,
-    /// The caller was refused before and has come back: part of its objective
-    /// had passed before it came.
+    /// The caller was refused before and has retried, so part of its objective had passed before
+    /// this attempt.
     pub has_returned: bool,
     /// The root request.
     pub root_request_id: RootRequestId,
-    /// Work that the chain has already spent on the root request.
+    /// Work that the call chain has already done for the root request.
     pub work_spent: Duration,
-    /// Same for equal requests.
+    /// Equal for equal requests.
     pub fingerprint: Fingerprint,
     /// Kind of work.
     pub kind: WorkKind,
 }
 
-/// What becomes of an offered call.
+/// Immediate decision on an offered call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// Hand it to the upstream now.
+    /// Send it to the upstream now.
     Run,
-    /// It waits; [`crate::Admission::take_decisions`] tells what becomes of it.
+    /// It waits; [`crate::Admission::take_decisions`] returns the later decision.
     Queued,
-    /// It was not run and will not be.
+    /// It has not run and will not run.
     Refused(Refusal),
 }
 
-/// What has become of a queued call.
+/// Decision on a queued call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueDecision {
-    /// Hand it to the upstream now.
+    /// Send it to the upstream now.
     Run(CallId),
-    /// It was not run and will not be.
+    /// It has not run and will not run.
     Refuse(CallId, Refusal),
 }
 
-/// How a call ended in the upstream.
+/// How the run of a call in the upstream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunResult {
-    /// With a whole answer.
+    /// Complete answer.
     Answered,
-    /// With a whole answer that reports a failure: its time says nothing.
+    /// Complete answer that reports a failure. Its duration is not used for estimates.
     AnsweredWithFailure,
-    /// With a failure, after a deeper call found no room.
+    /// Failure after a child call was refused for lack of capacity.
     ChildLackedCapacity,
-    /// Without one: connection lost, short answer, timeout.
+    /// No complete answer: connection lost, truncated answer or timeout.
     Failed,
-    /// The upstream itself refused it unstarted.
+    /// The upstream itself refused the call before starting it.
     ShedByUpstream,
-    /// It was cancelled, and the connection is closed.
+    /// Cancelled, with its connection closed.
     Cancelled,
 }
 
-/// What [`crate::Admission::cancel`] found.
+/// Result of [`crate::Admission::cancel`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelResult {
-    /// It waited; it was not run and will not be.
+    /// It was queued; it has not run and will not run.
     Dequeued,
-    /// It runs: close its connection, then report [`RunResult::Cancelled`].
+    /// It is running: close its connection, then report [`RunResult::Cancelled`].
     Running,
     /// It has ended or was never offered.
     UnknownCall,
--- a/crates/hemlocktack-decide/src/peer_load.rs
+++ b/crates/hemlocktack-decide/src/peer_load.rs
@@ -1,4 +1,4 @@
-//! What one node knows of another's upstream: load, times, failures.
+//! Load, latency and failures of another node's upstream, as seen by one node.
 
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
@@ -7,68 +7,69 @@
 
 use crate::placement::{PlacementPolicy, is_unavailable};
 
-/// How long an upstream that refused a call for load is passed over: about as
-/// long as its queue takes to move on.
-const AVOIDED_AFTER_OVERLOAD: Duration = Duration::from_millis(20);
-/// How long one is passed over that has no upstream, starts, drains or failed:
-/// until membership has the news.
-const AVOIDED_AFTER_FAULT: Duration = Duration::from_millis(500);
-/// Each time that a peer fails again as soon as it is tried, it is passed over
-/// twice as long, up to this: a call that tries a peer without power waits half
-/// a second for nothing, and one that is back is tried soon enough.
-const AVOIDED_AT_MOST: Duration = Duration::from_secs(2);
-
-/// Silence that is ordinary: this, or so many service times after the queue.
-/// Service times spread, and a quiet peer may run just one long call.
-const ORDINARY_SILENCE: Duration = Duration::from_millis(250);
-const ORDINARY_SILENCE_SERVICE_TIMES: u32 = 5;
-/// The same of a peer whose service time is not known yet.
-const ORDINARY_SILENCE_UNKNOWN: Duration = Duration::from_secs(1);
-/// A call is given up and sent elsewhere after this many ordinary silences:
-/// more than it takes to pass a peer over, as giving up costs a retry.
-const SILENCES_BEFORE_GIVING_UP: u32 = 2;
-
-/// What one node knows of one upstream's node. Shared between threads.
+/// How long an upstream is avoided after refusing a call because of load: about as long as its
+/// queue takes to advance.
+const AVOID_AFTER_OVERLOAD: Duration = Duration::from_millis(20);
+/// How long a node is avoided that has no upstream, is starting or draining, or failed: until
+/// membership reports its state.
+const AVOID_AFTER_FAULT: Duration = Duration::from_millis(500);
+/// The time a peer is avoided doubles with each consecutive failed attempt, up to this: a call
+/// sent to a peer without power loses half a second, and a recovered peer is still tried soon
+/// enough.
+const MAX_AVOID_TIME: Duration = Duration::from_secs(2);
+
+/// Normal silence is this, or the queueing delay plus this number of service times if that is
+/// longer: service times vary, and an idle peer may be running just one long call.
+const NORMAL_SILENCE: Duration = Duration::from_millis(250);
+const NORMAL_SILENCE_SERVICE_TIMES: u32 = 5;
+/// Normal silence of a peer whose service time is unknown.
+const NORMAL_SILENCE_UNKNOWN: Duration = Duration::from_secs(1);
+/// A call is given up and sent elsewhere after this multiple of the normal silence. This is
+/// longer than the silence after which a peer is avoided, because giving up costs a retry.
+const SILENCES_BEFORE_TIMEOUT: u32 = 2;
+
+/// What one node knows about the node of one upstream. Shared between threads.
 #[derive(Debug)]
 pub struct PeerLoad {
-    born: Instant,
-    pub(crate) is_near: bool,
+    created_at: Instant,
+    pub(crate) is_local: bool,
     state: AtomicU32,
     is_suspected: AtomicBool,
-    /// Calls sent from here and not answered.
+    /// Calls sent from this node without a reply yet.
     outstanding: AtomicU32,
-    /// Of these, sent since the last hint: the hint does not count them.
+    /// Outstanding calls sent since the last hint, which does not include them.
     sent_since_hint: AtomicU32,
     load: AtomicU32,
     limit: AtomicU32,
     service_time_us: AtomicU64,
     queue_delay_us: AtomicU64,
-    /// Since when it owes an answer and has sent nothing.
+    /// Since when an answer is outstanding and nothing has been received.
     silent_since_us: AtomicU64,
-    heard_us: AtomicU64,
-    /// Until when it is passed over after a refusal or a failure.
+    last_hint_us: AtomicU64,
+    /// Time until which it is avoided after a refusal or a failure.
     avoided_until_us: AtomicU64,
-    /// Times in a row that it was tried and failed.
-    failed_in_row: AtomicU32,
-    /// Failures among the last 16 or so calls, per mille.
+    /// Consecutive failed attempts.
+    consecutive_failures: AtomicU32,
+    /// Share of failures among about the last 16 calls, per mille.
     failures_per_mille: AtomicU32,
     /// When the last of these calls ended.
-    failures_counted_us: AtomicU64,
+    last_outcome_us: AtomicU64,
 }
 
-/// One outcome moves the share of failures by this part of the way.
-const FAILURE_STEP: u32 = 16;
-/// The share of failures falls evenly to nothing in this time without calls: as
-/// long as a hint counts.
-const FAILURES_FORGOTTEN_AFTER: Duration = Duration::from_secs(2);
+/// Each outcome moves the failure share by one part in this many.
+const FAILURE_AVERAGING_CALLS: u32 = 16;
+/// Time without calls over which the failure share decays linearly to zero; as long as a hint is
+/// valid.
+const FAILURE_LIFETIME: Duration = Duration::from_secs(2);
 const NEVER: u64 = u64::MAX;
 
 impl PeerLoad {
-    /// Knows nothing but whether the peer is in the same data centre.
-    pub fn new(is_near: bool, state: UpstreamState, now: Instant) -> Self {
+    /// Creates the state of a peer of which only the locality (same data centre or not) and the
+    /// upstream state are known.
+    pub fn new(is_local: bool, state: UpstreamState, now: Instant) -> Self {
         PeerLoad {
-            born: now,
-            is_near,
+            created_at: now,
+            is_local,
             state: AtomicU32::new(state as u32),
             is_suspected: AtomicBool::new(false),
             outstanding: AtomicU32::new(0),
@@ -78,26 +79,26 @@
             service_time_us: AtomicU64::new(0),
             queue_delay_us: AtomicU64::new(0),
             silent_since_us: AtomicU64::new(0),
-            heard_us: AtomicU64::new(NEVER),
+            last_hint_us: AtomicU64::new(NEVER),
             avoided_until_us: AtomicU64::new(0),
-            failed_in_row: AtomicU32::new(0),
+            consecutive_failures: AtomicU32::new(0),
             failures_per_mille: AtomicU32::new(0),
-            failures_counted_us: AtomicU64::new(NEVER),
+            last_outcome_us: AtomicU64::new(NEVER),
         }
     }
 
-    /// Membership reports where the upstream stands.
+    /// Sets the upstream state reported by membership.
     pub fn set_state(&self, state: UpstreamState) {
         self.state.store(state as u32, Ordering::Release);
     }
 
-    /// Membership reports whether the node's probes go unanswered.
+    /// Sets whether membership suspects the node because its probes go unanswered.
     pub fn set_suspected(&self, is_suspected: bool) {
         self.is_suspected.store(is_suspected, Ordering::Release);
     }
 
-    /// A call goes to it. Each must be followed by one of `answered`,
-    /// `refused`, `failed` or `abandoned`.
+    /// Records that a call was sent. Each must be followed by one of `answered`, `refused`,
+    /// `failed` or `abandoned`.
     pub fn sent(&self, now: Instant) {
         let before = self.outstanding.fetch_add(1, Ordering::AcqRel);
         if before == 0 {
@@ -107,52 +108,52 @@
         self.sent_since_hint.fetch_add(1, Ordering::AcqRel);
     }
 
-    /// It answered.
+    /// Records an answer.
     pub fn answered(&self, hint: &LoadHint, now: Instant) {
-        self.ended();
-        self.heard(now);
-        self.learn(hint, now);
-        self.failed_in_row.store(0, Ordering::Release);
-        self.count_failure(false, now);
+        self.call_ended();
+        self.mark_heard(now);
+        self.apply_hint(hint, now);
+        self.consecutive_failures.store(0, Ordering::Release);
+        self.record_outcome(false, now);
     }
 
-    /// It refused the call, or an upstream below it did.
+    /// Records a refusal, by the peer or by a service that it called.
     pub fn refused(&self, reason: Reason, hint: Option<&LoadHint>, now: Instant) {
-        self.ended();
+        self.call_ended();
         if let Some(hint) = hint {
-            self.heard(now);
-            self.learn(hint, now);
+            self.mark_heard(now);
+            self.apply_hint(hint, now);
         }
         if reason == Reason::UpstreamShed {
-            self.count_failure(true, now);
+            self.record_outcome(true, now);
         } else if is_unavailable(reason) {
-            self.avoid(AVOIDED_AFTER_FAULT, now);
+            self.avoid(AVOID_AFTER_FAULT, now);
         } else if is_overloaded(reason) {
-            self.avoid(AVOIDED_AFTER_OVERLOAD, now);
+            self.avoid(AVOID_AFTER_OVERLOAD, now);
         }
     }
 
-    /// The call ended without an answer through a fault of it or its link.
+    /// Records that a call ended without an answer because of a fault of the peer or its link.
     pub fn failed(&self, now: Instant) {
-        self.ended_without_hint();
-        self.count_failure(true, now);
-        // Calls that fail together are one try.
+        self.call_ended_without_hint();
+        self.record_outcome(true, now);
+        // Calls that fail together count as one attempt.
         let is_known = self.micros(now) < self.avoided_until_us.load(Ordering::Acquire);
         if !is_known {
-            let before = self.failed_in_row.fetch_add(1, Ordering::AcqRel);
-            let doubled = AVOIDED_AFTER_FAULT.saturating_mul(1 << before.min(8));
-            self.avoid(doubled.min(AVOIDED_AT_MOST), now);
+            let before = self.consecutive_failures.fetch_add(1, Ordering::AcqRel);
+            let doubled = AVOID_AFTER_FAULT.saturating_mul(1 << before.min(8));
+            self.avoid(doubled.min(MAX_AVOID_TIME), now);
         }
     }
 
-    /// Its caller has left the call before its end.
+    /// Records that the caller abandoned the call before it ended.
     ///
-    /// Failure: callers give up, and upstreams give up deeper calls at their
-    /// deadline. Symptom: a peer that still counts these calls looks full for as
-    /// long as it lives, and the node sends its calls past an idle upstream to
-    /// the others. A call that was left says nothing else of the peer.
+    /// Callers time out, and upstreams abandon child calls at their deadline. A peer for which
+    /// these calls were still counted would look full for as long as it lives, and the node
+    /// would send its calls past an idle upstream to others. An abandoned call says nothing else
+    /// about the peer.
     pub fn abandoned(&self) {
-        self.ended_without_hint();
+        self.call_ended_without_hint();
     }
 
     fn avoid(&self, time: Duration, now: Instant) {
@@ -160,26 +161,25 @@
             .fetch_max(self.micros(now + time), Ordering::AcqRel);
     }
 
-    /// How long to wait for an answer before asking [`PeerLoad::is_lost`].
+    /// Returns how long to wait for an answer before checking [`PeerLoad::is_lost`].
     pub fn silence_timeout(&self) -> Duration {
-        self.ordinary_silence() * SILENCES_BEFORE_GIVING_UP
+        self.normal_silence() * SILENCES_BEFORE_TIMEOUT
     }
 
-    /// Whether an idempotent call that waits there is to be given up, reported
-    /// as failed and sent elsewhere, out of allowance and edge budget.
+    /// Returns whether an idempotent call that waits at the peer is to be given up, reported as
+    /// failed and sent elsewhere, which consumes the allowance and the edge budget.
     ///
-    /// Load: a node or its link that stands still without closing anything.
-    /// Harm: calls wait there for their callers' whole patience while others
-    /// are idle. Silence alone is no proof: a quiet peer may run just one long
-    /// call, which would be done twice. So membership has to suspect the node
-    /// as well; a slow peer answers its probes and is not given up.
+    /// A node or link that hangs without closing its connections would hold calls for their
+    /// callers' full timeout while other upstreams are idle. Silence alone is no proof: an idle
+    /// peer may be running just one long call, which would then run twice. Membership therefore
+    /// has to suspect the node as well; a slow peer answers its probes and is not given up.
     pub fn is_lost(&self, now: Instant) -> bool {
         let is_suspected = self.is_suspected.load(Ordering::Acquire);
         is_suspected && self.silence(now) >= self.silence_timeout()
     }
 
     fn is_silent(&self, now: Instant) -> bool {
-        self.silence(now) >= self.ordinary_silence()
+        self.silence(now) >= self.normal_silence()
     }
 
     fn silence(&self, now: Instant) -> Duration {
@@ -190,33 +190,33 @@
         Duration::from_micros(self.micros(now).saturating_sub(since))
     }
 
-    fn ordinary_silence(&self) -> Duration {
+    fn normal_silence(&self) -> Duration {
         let service_us = self.service_time_us.load(Ordering::Acquire);
         if service_us == 0 {
-            return ORDINARY_SILENCE_UNKNOWN;
+            return NORMAL_SILENCE_UNKNOWN;
         }
         let queue = Duration::from_micros(self.queue_delay_us.load(Ordering::Acquire));
-        let work = Duration::from_micros(service_us) * ORDINARY_SILENCE_SERVICE_TIMES;
-        ORDINARY_SILENCE.max(queue + work)
+        let work = Duration::from_micros(service_us) * NORMAL_SILENCE_SERVICE_TIMES;
+        NORMAL_SILENCE.max(queue + work)
     }
 
-    fn heard(&self, now: Instant) {
+    fn mark_heard(&self, now: Instant) {
         self.silent_since_us
             .store(self.micros(now), Ordering::Release);
     }
 
-    fn ended(&self) {
+    fn call_ended(&self) {
         count_down(&self.outstanding);
     }
 
-    /// No hint came that would count the call. Left in, the calls that a peer has
-    /// failed make it look full, and it is not tried when it is back.
-    fn ended_without_hint(&self) {
-        self.ended();
+    /// Removes an outstanding call for which no hint arrived. If the failed calls of a peer
+    /// stayed counted, it would look full and would not be tried once it is back.
+    fn call_ended_without_hint(&self) {
+        self.call_ended();
         count_down(&self.sent_since_hint);
     }
 
-    fn learn(&self, hint: &LoadHint, now: Instant) {
+    fn apply_hint(&self, hint: &LoadHint, now: Instant) {
         self.load
             .store(hint.in_flight + hint.queued, Ordering::Release);
         self.limit.store(hint.limit, Ordering::Release);
@@ -224,31 +224,31 @@
             .store(hint.service_time_us, Ordering::Release);
         self.queue_delay_us
             .store(hint.queue_delay_us, Ordering::Release);
-        self.heard_us.store(self.micros(now), Ordering::Release);
+        self.last_hint_us.store(self.micros(now), Ordering::Release);
         self.sent_since_hint.store(0, Ordering::Release);
     }
 
-    fn count_failure(&self, failed: bool, now: Instant) {
+    fn record_outcome(&self, failed: bool, now: Instant) {
         let towards = if failed { 1000 } else { 0 };
         let share = (self.failure_share(now) * 1000.0) as u32;
-        let share = share + towards / FAILURE_STEP - share / FAILURE_STEP;
+        let share = share + towards / FAILURE_AVERAGING_CALLS - share / FAILURE_AVERAGING_CALLS;
         self.failures_per_mille.store(share, Ordering::Release);
-        self.failures_counted_us
+        self.last_outcome_us
             .store(self.micros(now), Ordering::Release);
     }
 
-    /// Share of failures among its last calls; what they say ages.
+    /// Returns the share of failures among the peer's last calls, which decays with age.
     ///
-    /// After a fault of all upstreams the first that answers would else draw
-    /// every call, and the others none that shows that they are well.
+    /// Without the decay, after a fault of all upstreams the first that answers would attract
+    /// every call, and the others would get none to show that they have recovered.
     pub(crate) fn failure_share(&self, now: Instant) -> f64 {
-        let counted = self.age(self.failures_counted_us.load(Ordering::Acquire), now);
-        let freshness = counted.map_or(0.0, |age| 1.0 - share_of(age, FAILURES_FORGOTTEN_AFTER));
+        let counted = self.age(self.last_outcome_us.load(Ordering::Acquire), now);
+        let freshness = counted.map_or(0.0, |age| 1.0 - share_of(age, FAILURE_LIFETIME));
         f64::from(self.failures_per_mille.load(Ordering::Acquire)) / 1000.0 * freshness
     }
 
     fn micros(&self, now: Instant) -> u64 {
-        now.saturating_duration_since(self.born).as_micros() as u64
+        now.saturating_duration_since(self.created_at).as_micros() as u64
     }
 
     pub(crate) fn takes_calls(&self) -> bool {
@@ -260,11 +260,11 @@
         (at_us != NEVER).then(|| Duration::from_micros(self.micros(now).saturating_sub(at_us)))
     }
 
-    /// Calls there over its limit, as far as known: what it said, and what was
+    /// Returns the peer's estimated calls over its limit: the last reported load plus the calls
     /// sent since.
     pub(crate) fn utilisation(&self, policy: &PlacementPolicy, now: Instant) -> f64 {
-        let heard = self.age(self.heard_us.load(Ordering::Acquire), now);
-        let freshness = heard.map_or(0.0, |age| 1.0 - share_of(age, policy.hint_lifetime));
+        let mark_heard = self.age(self.last_hint_us.load(Ordering::Acquire), now);
+        let freshness = mark_heard.map_or(0.0, |age| 1.0 - share_of(age, policy.hint_lifetime));
         let said = f64::from(self.load.load(Ordering::Acquire)) * freshness;
         let since = f64::from(self.sent_since_hint.load(Ordering::Acquire));
         let own = f64::from(self.outstanding.load(Ordering::Acquire));
@@ -272,7 +272,7 @@
         (said + since).max(own) / limit
     }
 
-    /// Expected time until an answer, in seconds.
+    /// Returns the expected time to an answer, in seconds.
     pub(crate) fn cost(&self, policy: &PlacementPolicy, now: Instant) -> f64 {
         let service_us = self.service_time_us.load(Ordering::Acquire);
         let service = if service_us == 0 {
@@ -282,10 +282,10 @@
         };
         let utilisation = self.utilisation(policy, now);
         let waits = (utilisation - 1.0).max(0.0);
-        // Below the limit nothing waits; the small term spreads calls evenly.
+        // Below the limit no call waits; the small utilisation term distributes calls evenly.
         let mut cost = service * (1.0 + waits + 0.3 * utilisation.min(1.0));
-        if !self.is_near {
-            cost += policy.far_cost.as_secs_f64();
+        if !self.is_local {
+            cost += policy.remote_cost.as_secs_f64();
         }
         if self.state.load(Ordering::Acquire) == UpstreamState::Cold as u32 {
             cost *= policy.cold_factor;
@@ -293,9 +293,9 @@
         cost * self.failure_penalty(policy, now)
     }
 
-    /// Load: an upstream that fails or refuses at once. Harm: it always looks
-    /// idle and draws all calls to their failure. Times are learnt only from
-    /// answers, and failures multiply the cost, so it cannot look attractive.
+    /// Returns the factor by which failures increase the cost. An upstream that fails or refuses
+    /// immediately always looks idle and would attract all calls. Latency is learnt only from
+    /// answers, and failures multiply the cost, so that such an upstream is not preferred.
     fn failure_penalty(&self, policy: &PlacementPolicy, now: Instant) -> f64 {
         1.0 + self.failure_share(now) * policy.failure_factor
     }
@@ -305,7 +305,7 @@
     }
 }
 
-/// Part of a lifetime that has passed, 1 at most.
+/// Returns the elapsed part of a lifetime, at most 1.
 fn share_of(age: Duration, lifetime: Duration) -> f64 {
     (age.as_secs_f64() / lifetime.as_secs_f64()).min(1.0)
 }
--- a/crates/hemlocktack-decide/src/placement.rs
+++ b/crates/hemlocktack-decide/src/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: on which node's upstream a call is put.
+//! Placement: selection of the node whose upstream gets a call.
 
 use std::time::{Duration, Instant};
 
@@ -7,51 +7,52 @@
 
 use crate::peer_load::PeerLoad;
 
-/// Numbers of [`place`].
+/// Parameters of [`place`].
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementPolicy {
-    /// Load (calls over limit) at which the nearer upstream no longer goes
-    /// first: below 1, so that calls spill over before the near one queues.
-    pub spill_over_at: f64,
-    /// An upstream in another data centre goes before a near one with room where
-    /// its answer is expected this many times sooner. Bytes between data
-    /// centres cost money, and smaller differences are chance.
-    pub far_advantage: f64,
-    /// A near upstream with room goes first in any case while its answer is
-    /// expected within this share of the time in which the whole request is
-    /// wanted: a request makes up to ten calls one after the other, and a few
-    /// milliseconds less for each of them are worth nothing to its caller.
-    pub near_within: f64,
-    /// Load below which a near upstream goes first whatever is held against it:
-    /// one that was slow or stood still would get no call that shows that it
-    /// has recovered.
-    pub tried_below: f64,
-    /// This does not hold for one that fails a larger share of its calls: it is
-    /// idle because it fails, and its share falls by itself while nothing comes.
-    pub tried_failing_below: f64,
-    /// Cost of another data centre: today's lie 0.5 to 1 ms apart one way.
-    pub far_cost: Duration,
-    /// A hint this old counts for nothing; calls in between age it evenly.
+    /// Load (calls over limit) at which local upstreams lose their preference: below 1, so that
+    /// calls spill over before the local upstream queues.
+    pub spill_over_load: f64,
+    /// An upstream in another data centre is preferred to a local one with spare capacity if its
+    /// expected time to an answer is shorter by this factor. Traffic between data centres costs
+    /// money, and smaller differences are noise.
+    pub remote_speedup: f64,
+    /// A local upstream with spare capacity is always preferred while its expected time to an
+    /// answer is below this share of the objective of the whole request: a request makes up to
+    /// ten calls in sequence, and its caller gains nothing from saving a few milliseconds on
+    /// each.
+    pub near_objective_share: f64,
+    /// Load below which a local upstream is preferred whatever its recorded latency and
+    /// failures: one that was slow or suspended would otherwise get no calls to show that it has
+    /// recovered.
+    pub probe_load_below: f64,
+    /// `probe_load_below` does not apply to an upstream that fails a larger share of its calls
+    /// than this: it is idle because it fails, and its failure share decays by itself while it
+    /// gets no calls.
+    pub probe_failure_share_below: f64,
+    /// Cost of another data centre. The data centres are 0.5 to 1 ms apart one way.
+    pub remote_cost: Duration,
+    /// Age at which a load hint no longer counts; its weight decreases linearly until then.
     pub hint_lifetime: Duration,
-    /// Service time assumed of an upstream that has not answered yet: short, so
-    /// that it is tried.
+    /// Assumed service time of an upstream that has not answered yet: short, so that it is
+    /// tried.
     pub unknown_service_time: Duration,
     /// Multiplies the cost of an upstream in slow start.
     pub cold_factor: f64,
-    /// Multiplies the cost of an upstream whose calls all fail; fewer failures
-    /// count in proportion.
+    /// Multiplies the cost of an upstream whose calls all fail; a lower failure share counts in
+    /// proportion.
     pub failure_factor: f64,
 }
 
 impl Default for PlacementPolicy {
     fn default() -> Self {
         PlacementPolicy {
-            spill_over_at: 0.8,
-            far_advantage: 1.3,
-            near_within: 0.1,
-            tried_below: 0.2,
-            tried_failing_below: 0.25,
-            far_cost: Duration::from_millis(2),
+            spill_over_load: 0.8,
+            remote_speedup: 1.3,
+            near_objective_share: 0.1,
+            probe_load_below: 0.2,
+            probe_failure_share_below: 0.25,
+            remote_cost: Duration::from_millis(2),
             hint_lifetime: Duration::from_secs(2),
             unknown_service_time: Duration::from_millis(5),
             cold_factor: 2.0,
@@ -60,59 +61,62 @@
     }
 }
 
-/// Picks the upstream for a call: its index in `peers`, or `None` when none
-/// takes calls. Only those that `may_get_it` are looked at: not the one that has
-/// just refused the call, for instance.
+/// Selects the upstream for a call and returns its index in `peers`, or `None` if none takes
+/// calls. Only peers accepted by `may_send_to` are considered; it excludes, for instance, the
+/// peer that has just refused the call.
 ///
-/// Load: uneven demand and uneven upstreams, known late. Harm: sending all
-/// calls to the one that looked best overloads it before the next hint, and
-/// sending evenly overloads the slow one. The better of two random choices
-/// avoids both. Nearer upstreams come first, but only until they are nearly
-/// full, and only where they are not much slower: a call in another data centre
-/// costs two milliseconds, a queue or an old machine more. Slower counts only
-/// where it can make the answer late that is wanted within `wanted_within`: a
-/// fast upstream would else draw the calls of all data centres, and their bytes
-/// cost money. Full ones are chosen among in the same way.
+/// Demand and upstream speeds are uneven, and known only with a delay. Sending all calls to the
+/// upstream that looked best would overload it before the next load hint, and sending evenly
+/// would overload the slow one; taking the better of two random choices avoids both. Local
+/// upstreams are preferred until they are nearly full, unless they are much slower: another data
+/// centre costs two milliseconds, a queue or an old machine more. A slower local upstream loses
+/// its preference only if it could make the answer late for `objective`; otherwise a fast
+/// upstream would attract the calls of all data centres, and traffic between them costs money.
+/// Among full upstreams the choice is made in the same way.
 pub fn place(
     peers: &[impl AsRef<PeerLoad>],
-    may_get_it: impl Fn(usize) -> bool,
-    wanted_within: Option<Duration>,
+    may_send_to: impl Fn(usize) -> bool,
+    objective: Option<Duration>,
     now: Instant,
     policy: &PlacementPolicy,
     rng: &mut impl Rng,
 ) -> Option<usize> {
-    let takes = |index: usize, peer: &PeerLoad| may_get_it(index) && peer.takes_calls();
-    let settled = |index: usize, peer: &PeerLoad| takes(index, peer) && !peer.is_avoided(now);
+    let takes = |index: usize, peer: &PeerLoad| may_send_to(index) && peer.takes_calls();
+    let available = |index: usize, peer: &PeerLoad| takes(index, peer) && !peer.is_avoided(now);
     let has_room = |index: usize, peer: &PeerLoad| {
-        settled(index, peer) && peer.utilisation(policy, now) < policy.spill_over_at
+        available(index, peer) && peer.utilisation(policy, now) < policy.spill_over_load
     };
     let cost = |index: usize| peers[index].as_ref().cost(policy, now);
-    let is_soon = |near: usize| {
-        wanted_within.is_some_and(|within| cost(near) < within.as_secs_f64() * policy.near_within)
+    let is_fast_enough = |near: usize| {
+        objective
+            .is_some_and(|within| cost(near) < within.as_secs_f64() * policy.near_objective_share)
     };
-    let is_tried = |near: usize| {
+    let is_due_for_probe = |near: usize| {
         let near = peers[near].as_ref();
-        near.utilisation(policy, now) < policy.tried_below
-            && near.failure_share(now) < policy.tried_failing_below
+        near.utilisation(policy, now) < policy.probe_load_below
+            && near.failure_share(now) < policy.probe_failure_share_below
     };
     let goes_first = |near: usize, far: usize| {
-        is_tried(near) || is_soon(near) || cost(far) * policy.far_advantage >= cost(near)
+        is_due_for_probe(near)
+            || is_fast_enough(near)
+            || cost(far) * policy.remote_speedup >= cost(near)
     };
-    let mut nearest_of = |eligible: &dyn Fn(usize, &PeerLoad) -> bool| {
-        let is_near = |index: usize, peer: &PeerLoad| peer.is_near && eligible(index, peer);
-        let near = better_of_two(peers, is_near, now, policy, rng);
+    let mut choose_nearest = |eligible: &dyn Fn(usize, &PeerLoad) -> bool| {
+        let is_local = |index: usize, peer: &PeerLoad| peer.is_local && eligible(index, peer);
+        let near = better_of_two(peers, is_local, now, policy, rng);
         let any = better_of_two(peers, eligible, now, policy, rng)?;
         near.filter(|near| goes_first(*near, any)).or(Some(any))
     };
-    nearest_of(&has_room)
-        .or_else(|| nearest_of(&settled))
-        .or_else(|| nearest_of(&takes))
+    choose_nearest(&has_room)
+        .or_else(|| choose_nearest(&available))
+        .or_else(|| choose_nearest(&takes))
 }
 
-/// Whether a call that one node refused may be put on another. At most once a
-/// call, and no retry: nothing ran. A refusal that the others share (shed by
-/// level, quarantined) is passed up instead. How long a call would wait is one
-/// node's own: its upstream may be the slow one of its data centre.
+/// Returns whether a call refused by one node for this reason may be sent to another node. This
+/// is allowed at most once per call after a refusal and is not a retry, since nothing ran.
+/// Refusals that the other nodes would share (shed by level, quarantined) are returned to the
+/// caller instead. The expected wait is specific to one node: its upstream may be the slow one
+/// of its data centre.
 pub fn may_move(reason: Reason) -> bool {
     matches!(reason, Reason::QueueFull | Reason::DeadlineTooShort) || is_unavailable(reason)
 }
@@ -148,7 +152,7 @@
     })
 }
 
-/// One eligible peer, each with equal chance, in one pass and without memory.
+/// Selects one eligible peer with equal probability, in one pass and without allocating.
 fn choose(
     peers: &[impl AsRef<PeerLoad>],
     eligible: impl Fn(usize, &PeerLoad) -> bool,
--- a/crates/hemlocktack-decide/src/quarantine.rs
+++ b/crates/hemlocktack-decide/src/quarantine.rs
@@ -1,60 +1,60 @@
-//! Requests that crash the upstreams that run them.
+//! Quarantine of requests that crash upstreams.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use hemlocktack_protocol::Fingerprint;
 
-/// Numbers of [`Quarantine`].
+/// Parameters of [`Quarantine`].
 #[derive(Clone, Copy, Debug)]
 pub struct QuarantinePolicy {
-    /// Crashes after which a fingerprint is refused. Operators' setting; fewer
-    /// than two cannot tell a guilty call from those that ran beside it.
+    /// Crashes after which a fingerprint is quarantined. Set by operators; values below two
+    /// cannot tell the request that caused a crash from those that ran beside it.
     pub crashes: u32,
-    /// How long a convicted fingerprint is refused, counted from its last
-    /// crash. Then it is suspected again: one trial in one upstream.
-    pub refused_for: Duration,
-    /// How long a suspicion lasts without another crash.
+    /// How long a fingerprint is refused after its last crash. Afterwards it is suspected again
+    /// and may run once in one upstream.
+    pub quarantined_for: Duration,
+    /// How long a fingerprint stays suspected without another crash.
     pub suspected_for: Duration,
-    /// Fingerprints kept. A crash of the largest upstream adds some 200; the
-    /// oldest suspicion makes room, a conviction stays.
-    pub kept: usize,
+    /// Maximum number of records. A crash of the largest upstream adds some 200. The oldest
+    /// suspected fingerprint is evicted first; quarantined ones are kept.
+    pub max_records: usize,
 }
 
 impl Default for QuarantinePolicy {
     fn default() -> Self {
         QuarantinePolicy {
             crashes: 2,
-            refused_for: Duration::from_secs(60),
+            quarantined_for: Duration::from_secs(60),
             suspected_for: Duration::from_secs(60),
-            kept: 2048,
+            max_records: 2048,
         }
     }
 }
 
-/// Fewest crashes that convict.
-const LEAST_CRASHES: u32 = 2;
+/// Minimum number of crashes for quarantine.
+const MIN_CRASHES: u32 = 2;
 
-/// How a fingerprint stands.
+/// Quarantine status of a fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineStatus {
-    /// Nothing is known against it.
+    /// No crash is recorded for it.
     Clear,
-    /// Ran in an upstream that crashed: at most one such call at a time in each
+    /// It ran in an upstream that crashed: at most one suspected call runs at a time in each
     /// upstream.
     Suspected,
-    /// Was the only suspect in an upstream that crashed: refused.
+    /// It was the only suspect in an upstream that crashed: refused.
     Quarantined,
 }
 
-/// What one node tells others of one fingerprint.
+/// Update on one fingerprint, exchanged between nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Suspect {
-    /// The fingerprint.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// Crashes held against it; 0 once it is cleared.
+    /// Crashes recorded for it; 0 once it is cleared.
     pub crashes: u32,
-    /// It is refused from now on.
+    /// Whether it is quarantined.
     pub proven: bool,
 }
 
@@ -65,72 +65,71 @@
     last_crash: Instant,
 }
 
-/// Fingerprints seen in crashes.
+/// Fingerprints of requests that ran in crashed upstreams.
 ///
-/// Load: one request that crashes each upstream that runs it, sent again by its
-/// caller. Harm: it takes the whole service down, one upstream after another.
-/// What a crash shows is only which calls ran, so up to a whole upstream's
-/// calls are suspected at once. Suspects run one at a time in each upstream
-/// beside calls that nothing is known against, so the next crash names one of
-/// them, and the innocents run to an answer and are cleared. No upstream has to
-/// be emptied for this. An innocent call can be convicted only by a second,
-/// unknown cause that hits it while it is the suspect of an upstream; the
-/// conviction ends after `refused_for`, and its next answer clears it.
+/// A single request that crashes each upstream that runs it, retried by its caller, takes a
+/// whole service down, one upstream after another. A crash only shows which calls were running,
+/// so up to all calls of an upstream become suspects at once. Suspects run one at a time in each
+/// upstream, beside calls without recorded crashes: the next crash then identifies one suspect,
+/// and harmless requests complete and are cleared. No upstream has to be drained for this. A
+/// harmless request is quarantined only if an unrelated crash happens while it is the suspect of
+/// an upstream; the quarantine ends after `quarantined_for`, and the next answer clears the
+/// request.
 #[derive(Debug)]
 pub struct Quarantine {
     policy: QuarantinePolicy,
     records: HashMap<Fingerprint, Record>,
-    news: Vec<Suspect>,
+    updates: Vec<Suspect>,
 }
 
 impl Quarantine {
-    /// Nothing suspected.
+    /// Creates an empty quarantine.
     pub fn new(policy: QuarantinePolicy) -> Self {
         Quarantine {
             policy,
-            records: HashMap::with_capacity(policy.kept),
-            news: Vec::new(),
+            records: HashMap::with_capacity(policy.max_records),
+            updates: Vec::new(),
         }
     }
 
-    /// How the fingerprint stands now.
+    /// Returns the current status of the fingerprint.
     pub fn status(&self, fingerprint: Fingerprint, now: Instant) -> QuarantineStatus {
         let Some(record) = self.records.get(&fingerprint) else {
             return QuarantineStatus::Clear;
         };
         let age = now.saturating_duration_since(record.last_crash);
-        let refused_for = if record.proven {
-            self.policy.refused_for
+        let quarantined_for = if record.proven {
+            self.policy.quarantined_for
         } else {
             Duration::ZERO
         };
-        if age < refused_for {
+        if age < quarantined_for {
             QuarantineStatus::Quarantined
-        } else if age < refused_for + self.policy.suspected_for {
+        } else if age < quarantined_for + self.policy.suspected_for {
             QuarantineStatus::Suspected
         } else {
             QuarantineStatus::Clear
         }
     }
 
-    /// The upstream died while `suspect`, if any, and the others ran in it.
+    /// Records a crash of the upstream while `suspect`, if any, and the others were running.
     pub fn crashed(&mut self, suspect: Option<Fingerprint>, others: &[Fingerprint], now: Instant) {
         if let Some(fingerprint) = suspect {
-            self.hold_against(fingerprint, now);
+            self.record_crash(fingerprint, now);
             return;
         }
         for &fingerprint in others {
-            self.hold_against(fingerprint, now);
+            self.record_crash(fingerprint, now);
         }
     }
 
-    /// The upstream ran it to an answer: it does not crash upstreams.
+    /// Clears a fingerprint: the upstream completed it, so it does not crash upstreams.
     pub fn finished(&mut self, fingerprint: Fingerprint) {
         if self.records.is_empty() {
             return;
         }
         if self.records.remove(&fingerprint).is_some() {
-            self.news.push(Suspect {
+            self.updates.push(Suspect {
                 fingerprint,
                 crashes: 0,
                 proven: false,
@@ -138,8 +137,8 @@
         }
     }
 
-    /// Takes in what another node found out. News is passed on once by the node
-    /// that found it, so this adds none.
+    /// Applies an update from another node. Each update is sent once, by the node that created
+    /// it, so none is queued here.
     pub fn learn(&mut self, suspect: Suspect, now: Instant) {
         if suspect.crashes == 0 {
             self.records.remove(&suspect.fingerprint);
@@ -152,12 +151,12 @@
         self.insert(suspect, now);
     }
 
-    /// What was found out here since the last call, for other nodes.
+    /// Removes and returns the local updates since the last call, for other nodes.
     pub fn take_updates(&mut self) -> Vec<Suspect> {
-        std::mem::take(&mut self.news)
+        std::mem::take(&mut self.updates)
     }
 
-    /// Fingerprints that are refused now.
+    /// Returns the fingerprints that are currently refused.
     pub fn refused(&self, now: Instant) -> Vec<Fingerprint> {
         let refused = self.records.keys().copied();
         refused
@@ -166,26 +165,26 @@
     }
 
     /// Changes the operators' limits; records keep their count of crashes.
-    pub fn set_limits(&mut self, crashes: u32, refused_for: Duration) {
+    pub fn set_limits(&mut self, crashes: u32, quarantined_for: Duration) {
         self.policy.crashes = crashes;
-        self.policy.refused_for = refused_for;
+        self.policy.quarantined_for = quarantined_for;
     }
 
-    fn hold_against(&mut self, fingerprint: Fingerprint, now: Instant) {
+    fn record_crash(&mut self, fingerprint: Fingerprint, now: Instant) {
         let known = self.records.get(&fingerprint);
         let crashes = known.map_or(1, |record| record.crashes + 1);
         let suspect = Suspect {
             fingerprint,
             crashes,
-            proven: crashes >= self.policy.crashes.max(LEAST_CRASHES),
+            proven: crashes >= self.policy.crashes.max(MIN_CRASHES),
         };
         self.insert(suspect, now);
-        self.news.push(suspect);
+        self.updates.push(suspect);
     }
 
     fn insert(&mut self, suspect: Suspect, now: Instant) {
-        if self.records.len() >= self.policy.kept {
-            self.make_room(now);
+        if self.records.len() >= self.policy.max_records {
+            self.evict_record(now);
         }
         self.records.insert(
             suspect.fingerprint,
@@ -197,14 +196,14 @@
         );
     }
 
-    fn make_room(&mut self, now: Instant) {
+    fn evict_record(&mut self, now: Instant) {
         let policy = self.policy;
-        let kept_for = policy.suspected_for + policy.refused_for;
+        let retained_for = policy.suspected_for + policy.quarantined_for;
         self.records.retain(|_, record| {
             let age = now.saturating_duration_since(record.last_crash);
-            age < policy.suspected_for || (record.proven && age < kept_for)
+            age < policy.suspected_for || (record.proven && age < retained_for)
         });
-        if self.records.len() < policy.kept {
+        if self.records.len() < policy.max_records {
             return;
         }
         let oldest = self
--- a/crates/hemlocktack-decide/src/queue.rs
+++ b/crates/hemlocktack-decide/src/queue.rs
@@ -1,5 +1,5 @@
-//! Calls that wait for a slot: one lane for each class and for whether work has
-//! been spent on them.
+//! Queue of calls that wait for a slot, with one lane per class and per whether work has already
+//! been done for the call.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -8,45 +8,43 @@
 
 use crate::offer::{OfferedCall, WorkKind};
 
-/// Classes told apart: as many as the operators may declare. Ranks beyond are
-/// treated as the last of these.
+/// Maximum number of classes that operators may declare. Higher ranks are treated as the last
+/// class.
 pub const MAX_CLASSES: usize = 16;
-/// Lanes of each class: calls that the chain has worked for, then fresh ones.
+/// Lanes of each class: calls with prior work, then fresh calls.
 const LANES_PER_CLASS: usize = 2;
 const LANES: usize = MAX_CLASSES * LANES_PER_CLASS;
-/// Calls with spent work that start before a fresh one of their class has its
-/// turn.
+/// Calls with prior work that start before a fresh call of their class gets a turn.
 ///
-/// Load: a deep service that every request of a class needs several times, and
-/// a few requests of that class that go to it directly. Harm: deeper calls are
-/// never out of sight, so a fresh one waits until its caller has gone, though
-/// all fresh ones together are a hundredth of the work. One turn in eight is
-/// many times what such requests need, and where there are more of them it
-/// costs deeper calls an eighth of the slots at most.
-const INVESTED_A_TURN: usize = 7;
-
-/// A call that waits.
+/// Calls with prior work to a service that every request of a class needs several times can keep
+/// its queue non-empty. A few fresh requests of the class, although they are a hundredth of the
+/// work, would then wait until their callers time out. One turn in eight is many times what such
+/// requests need, and if there are more of them, it takes at most an eighth of the slots from
+/// calls with prior work.
+const PRIOR_WORK_CALLS_PER_FRESH: usize = 7;
+
+/// A call in the queue.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Waiting {
+pub(crate) struct QueuedCall {
     pub(crate) call_id: CallId,
     pub(crate) class: usize,
-    pub(crate) invested: bool,
-    /// Until when it may wait and still be worth its work.
+    pub(crate) has_prior_work: bool,
+    /// Until when the call may wait and still be worth running.
     pub(crate) deadline: Instant,
-    /// Time in which its answer is wanted, from its offer on.
+    /// Time allowed for the answer, measured from the offer.
     pub(crate) objective: Option<Duration>,
     pub(crate) has_returned: bool,
     pub(crate) kind: WorkKind,
     pub(crate) fingerprint: Fingerprint,
 }
 
-impl Waiting {
+impl QueuedCall {
     pub(crate) fn from_offer(offer: &OfferedCall, now: Instant) -> Self {
         let worth_until = offer.objective.unwrap_or(offer.deadline);
-        Waiting {
+        QueuedCall {
             call_id: offer.call_id,
             class: class_of(offer.class_rank),
-            invested: offer.work_spent > Duration::ZERO,
+            has_prior_work: offer.work_spent > Duration::ZERO,
             deadline: offer.deadline.min(worth_until),
             objective: offer
                 .objective
@@ -58,17 +56,16 @@
     }
 }
 
-/// Bounded queue. All memory is taken when it is made; each operation but
-/// [`ClassQueue::take_hopeless`] is constant time, amortised over the entries
-/// that were cancelled.
+/// Bounded queue. All memory is allocated on creation; each operation except
+/// [`ClassQueue::take_matching`] takes constant time, amortized over cancelled entries.
 #[derive(Debug)]
 pub(crate) struct ClassQueue {
     lanes: [VecDeque<CallId>; LANES],
     lane_lengths: [usize; LANES],
-    /// Calls with spent work of each class that have started since a fresh one
-    /// of it did, or began to wait.
-    since_fresh: [usize; MAX_CLASSES],
-    waiting: HashMap<CallId, Waiting>,
+    /// Per class: calls with prior work started since a fresh call of the class last started or
+    /// began to wait.
+    started_since_fresh: [usize; MAX_CLASSES],
+    waiting: HashMap<CallId, QueuedCall>,
 }
 
 impl ClassQueue {
@@ -76,7 +73,7 @@
         ClassQueue {
             lanes: std::array::from_fn(|_| VecDeque::new()),
             lane_lengths: [0; LANES],
-            since_fresh: [0; MAX_CLASSES],
+            started_since_fresh: [0; MAX_CLASSES],
             waiting: HashMap::with_capacity(capacity),
         }
     }
@@ -89,19 +86,22 @@
         self.waiting.is_empty()
     }
 
-    /// Calls that would run before a new one of this class.
-    pub(crate) fn ahead_of(&self, class: usize, invested: bool) -> usize {
+    /// Returns the number of queued calls that would run before a new call of this class.
+    pub(crate) fn calls_ahead_of(&self, class: usize, has_prior_work: bool) -> usize {
         let before: usize = self.lane_lengths[..lane(class, true)].iter().sum();
-        let worked_for = self.lane_lengths[lane(class, true)];
+        let with_prior_work = self.lane_lengths[lane(class, true)];
         let fresh = self.lane_lengths[lane(class, false)];
-        if invested {
-            return before + worked_for + fresh.min(worked_for / INVESTED_A_TURN);
+        if has_prior_work {
+            return before
+                + with_prior_work
+                + fresh.min(with_prior_work / PRIOR_WORK_CALLS_PER_FRESH);
         }
-        before + fresh + worked_for.min((fresh + 1) * INVESTED_A_TURN)
+        before + fresh + with_prior_work.min((fresh + 1) * PRIOR_WORK_CALLS_PER_FRESH)
     }
 
-    /// Calls of each class and the more important ones together.
-    pub(crate) fn queued_up_to(&self) -> [usize; MAX_CLASSES] {
+    /// Returns, per class, the number of queued calls of the class and of all more important
+    /// ones.
+    pub(crate) fn cumulative_queued(&self) -> [usize; MAX_CLASSES] {
         let mut sum = 0;
         std::array::from_fn(|class| {
             let lanes = &self.lane_lengths[class * LANES_PER_CLASS..][..LANES_PER_CLASS];
@@ -110,60 +110,65 @@
         })
     }
 
-    pub(crate) fn push(&mut self, call: Waiting) {
-        let lane = lane(call.class, call.invested);
+    pub(crate) fn push(&mut self, call: QueuedCall) {
+        let lane = lane(call.class, call.has_prior_work);
         self.lanes[lane].push_back(call.call_id);
         self.lane_lengths[lane] += 1;
         self.waiting.insert(call.call_id, call);
     }
 
-    /// Next call to run: the best lane's oldest, or its newest.
-    pub(crate) fn pop(&mut self, newest_first: bool) -> Option<Waiting> {
+    /// Removes the next call to run: the oldest or the newest of the most important lane.
+    pub(crate) fn pop(&mut self, newest_first: bool) -> Option<QueuedCall> {
         let first = self.lane_lengths.iter().position(|length| *length > 0)?;
-        let lane = self.lane_on_turn(first);
+        let lane = self.next_lane(first);
         self.take_from(lane, newest_first)
     }
 
-    /// The best lane that has calls, or the fresh one of its class.
-    fn lane_on_turn(&mut self, first: usize) -> usize {
+    /// Returns the first non-empty lane, or the fresh lane of its class if that one has its
+    /// turn.
+    fn next_lane(&mut self, first: usize) -> usize {
         let class = first / LANES_PER_CLASS;
         let fresh = lane(class, false);
         if first == fresh || self.lane_lengths[fresh] == 0 {
-            self.since_fresh[class] = 0;
+            self.started_since_fresh[class] = 0;
             return first;
         }
-        self.since_fresh[class] += 1;
-        if self.since_fresh[class] <= INVESTED_A_TURN {
+        self.started_since_fresh[class] += 1;
+        if self.started_since_fresh[class] <= PRIOR_WORK_CALLS_PER_FRESH {
             return first;
         }
-        self.since_fresh[class] = 0;
+        self.started_since_fresh[class] = 0;
         fresh
     }
 
-    /// Takes out the call that would run last, if it is of a lower lane than a
-    /// new call of this class. Fresh calls of its own class that have their turn
-    /// before deeper ones stay.
-    pub(crate) fn evict_below(&mut self, class: usize, invested: bool) -> Option<Waiting> {
-        let worst = self.lane_lengths.iter().rposition(|length| *length > 0)?;
-        let has_turn = worst == lane(class, false) && self.has_turn(class);
-        if worst <= lane(class, invested) || has_turn {
+    /// Removes the call that would run last if its lane is less important than that of a new
+    /// call of this class. Fresh calls of the same class that would start before calls with
+    /// prior work are kept.
+    pub(crate) fn evict_less_important(
+        &mut self,
+        class: usize,
+        has_prior_work: bool,
+    ) -> Option<QueuedCall> {
+        let last = self.lane_lengths.iter().rposition(|length| *length > 0)?;
+        let has_fresh_turn = last == lane(class, false) && self.has_fresh_turn(class);
+        if last <= lane(class, has_prior_work) || has_fresh_turn {
             return None;
         }
-        self.take_from(worst, true)
+        self.take_from(last, true)
     }
 
-    /// Whether one more fresh call of this class would start before the deeper
-    /// ones that wait have all started.
-    pub(crate) fn has_turn(&self, class: usize) -> bool {
+    /// Returns whether one more fresh call of this class would start before all queued calls
+    /// with prior work have started.
+    pub(crate) fn has_fresh_turn(&self, class: usize) -> bool {
         let fresh = self.lane_lengths[lane(class, false)];
-        fresh * INVESTED_A_TURN < self.lane_lengths[lane(class, true)]
+        fresh * PRIOR_WORK_CALLS_PER_FRESH < self.lane_lengths[lane(class, true)]
     }
 
-    pub(crate) fn remove(&mut self, call_id: CallId) -> Option<Waiting> {
+    pub(crate) fn remove(&mut self, call_id: CallId) -> Option<QueuedCall> {
         let call = self.waiting.remove(&call_id)?;
-        // Its id stays in the lane and is skipped when it comes up, or is
-        // dropped here once such ids outnumber the calls.
-        let lane = lane(call.class, call.invested);
+        // The id stays in the lane. It is skipped when it reaches the front, or dropped here
+        // once stale ids outnumber the queued calls.
+        let lane = lane(call.class, call.has_prior_work);
         self.lane_lengths[lane] -= 1;
         if self.lanes[lane].len() > 2 * self.lane_lengths[lane] + LANES {
             let waiting = &self.waiting;
@@ -172,11 +177,11 @@
         Some(call)
     }
 
-    /// Takes out every call for which `is_hopeless` holds.
-    pub(crate) fn take_hopeless(
+    /// Removes every call that `matches` selects.
+    pub(crate) fn take_matching(
         &mut self,
-        is_hopeless: impl Fn(&Waiting) -> bool,
-        mut taken: impl FnMut(Waiting),
+        matches: impl Fn(&QueuedCall) -> bool,
+        mut taken: impl FnMut(QueuedCall),
     ) {
         for lane in 0..LANES {
             if self.lane_lengths[lane] == 0 {
@@ -188,7 +193,7 @@
                 let Some(call) = waiting.get(call_id).copied() else {
                     return false;
                 };
-                if !is_hopeless(&call) {
+                if !matches(&call) {
                     return true;
                 }
                 waiting.remove(call_id);
@@ -199,7 +204,7 @@
         }
     }
 
-    fn take_from(&mut self, lane: usize, newest: bool) -> Option<Waiting> {
+    fn take_from(&mut self, lane: usize, newest: bool) -> Option<QueuedCall> {
         loop {
             let call_id = if newest {
                 self.lanes[lane].pop_back()?
@@ -214,11 +219,11 @@
     }
 }
 
-fn lane(class: usize, invested: bool) -> usize {
-    class * LANES_PER_CLASS + usize::from(!invested)
+fn lane(class: usize, has_prior_work: bool) -> usize {
+    class * LANES_PER_CLASS + usize::from(!has_prior_work)
 }
 
-/// Lane class of a rank from a call.
+/// Returns the queue class for the class rank of a call.
 pub(crate) fn class_of(rank: ClassRank) -> usize {
     usize::from(rank).min(MAX_CLASSES - 1)
 }
--- a/crates/hemlocktack-decide/src/retry.rs
+++ b/crates/hemlocktack-decide/src/retry.rs
@@ -1,5 +1,5 @@
-//! Retries: bounded for a request over its whole call chain, and as a share of
-//! first tries on each edge between two services.
+//! Retries, bounded per request over its whole call chain and, on each edge between two
+//! services, as a share of first attempts.
 
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
@@ -8,96 +8,96 @@
 
 use crate::edge_budget::{EdgeRetryBudget, RetryPriority};
 
-/// Retries that are left to one request at one node.
+/// Retries left to one request at one node.
 ///
-/// Load: a chain in which each hop repeats what failed below it. Harm: with
-/// three tries a hop, depth 10 turns one request into 59,049 calls. The
-/// allowance is granted once at the root and conserved from there on: what goes
-/// away with a child call is gone here until the child gives its rest back, so
-/// the sum over the chain never exceeds the grant, whatever depth and fan-out.
-/// Parallel children share one counter.
+/// If each hop retried what failed below it with three attempts, at depth 10 one request would
+/// turn into 59,049 calls. The allowance is granted once at the root and conserved from there:
+/// what is passed to a child call is not available here until the child returns its rest, so the
+/// total over the chain never exceeds the grant, whatever its depth and fan-out. Parallel
+/// children share one counter.
 ///
-/// Where requests enter, retries of the entry's own sends may be kept apart: a
-/// child that is lost gives nothing back, and a lost first send is just what
-/// the entry could repeat. Both parts are granted once, so their sum bounds the
-/// chain as one grant did.
+/// At the entry, the retries of the entry's own sends may be kept separately: a lost child
+/// returns nothing, and a lost first send is exactly what the entry could retry. Both parts are
+/// granted once, so that their sum bounds the chain as a single grant would.
 #[derive(Debug)]
 pub struct RetryAllowance {
-    left: AtomicU32,
-    own: Option<AtomicU32>,
+    shared: AtomicU32,
+    entry_own: Option<AtomicU32>,
 }
 
 impl RetryAllowance {
-    /// At the root: the caller kind's allowance; below: what came with the call.
+    /// Creates an allowance: at the root, the one of the caller kind; below it, the one that
+    /// came with the call.
     pub fn new(granted: u32) -> Self {
         RetryAllowance {
-            left: AtomicU32::new(granted),
-            own: None,
+            shared: AtomicU32::new(granted),
+            entry_own: None,
         }
     }
 
-    /// At an entry that keeps `own` retries for its own sends and grants
-    /// `for_chain` to the calls below.
-    pub fn with_entry_share(own: u32, for_chain: u32) -> Self {
+    /// Creates the allowance of an entry that keeps `entry_own` retries for its own sends and
+    /// grants `for_chain` to child calls.
+    pub fn with_entry_share(entry_own: u32, for_chain: u32) -> Self {
         RetryAllowance {
-            left: AtomicU32::new(for_chain),
-            own: Some(AtomicU32::new(own)),
+            shared: AtomicU32::new(for_chain),
+            entry_own: Some(AtomicU32::new(entry_own)),
         }
     }
 
-    /// Retries that sends from here may still be repeated with.
+    /// Returns the retries left for sends from this node.
     pub fn left_for_own_sends(&self) -> u32 {
         self.here().load(Ordering::Acquire)
     }
 
     fn here(&self) -> &AtomicU32 {
-        self.own.as_ref().unwrap_or(&self.left)
+        self.entry_own.as_ref().unwrap_or(&self.shared)
     }
 
-    /// Retries left for the calls below and, where none are kept apart, here.
+    /// Returns the retries left for child calls and, if none are kept separately, for sends from
+    /// this node.
     pub fn left(&self) -> u32 {
-        self.left.load(Ordering::Acquire)
+        self.shared.load(Ordering::Acquire)
     }
 
-    /// Takes up to `wanted` away from the calls below and returns how many were
+    /// Takes up to `wanted` retries from the part for child calls and returns how many were
     /// taken.
     pub fn take(&self, wanted: u32) -> u32 {
-        take_from(&self.left, wanted)
+        take_from(&self.shared, wanted)
     }
 
-    /// Takes one retry to spend it here; false when none is left.
+    /// Takes one retry for a send from this node; returns false if none is left.
     pub fn try_take(&self) -> bool {
         take_from(self.here(), 1) == 1
     }
 
-    /// The part that a retry after this end is taken from.
+    /// Returns the part that a retry after this outcome is taken from.
     ///
-    /// What an upstream turned away has cost it nothing, and the parts kept
-    /// apart are for sends that may have run: so it draws on the part of the
-    /// calls below, which is larger.
-    fn part_for(&self, unfinished: &CallFailure) -> &AtomicU32 {
+    /// A call rejected by an upstream has cost it nothing, and the separate part of the entry is
+    /// meant for sends that may have run. Such a retry therefore uses the larger part for child
+    /// calls.
+    fn pool_for(&self, unfinished: &CallFailure) -> &AtomicU32 {
         match unfinished {
-            CallFailure::NotRun(refusal) if refusal.reason == Reason::UpstreamShed => &self.left,
+            CallFailure::NotRun(refusal) if refusal.reason == Reason::UpstreamShed => &self.shared,
             _ => self.here(),
         }
     }
 
-    /// Takes the share that travels with one child call: all of it from an entry
-    /// that keeps retries of its own.
+    /// Takes the share that is sent with one child call; at an entry with separate retries, all
+    /// of the part for child calls.
     pub fn grant_to_child(&self) -> u32 {
         let left = self.left();
-        let share = match self.own {
+        let share = match self.entry_own {
             Some(_) => left,
             None => share_for_child(left),
         };
         self.take(share)
     }
 
-    /// Puts back what a child did not spend. `given` is what went away with
-    /// the child: a child that claims more back than it got must not create
-    /// retries. A lost child gives nothing back, as it may have spent all.
+    /// Returns what a child did not spend. `given` is what was sent with the child: a child that
+    /// claims to return more must not create retries. A lost child returns nothing, as it may
+    /// have spent everything.
     pub fn return_unspent(&self, unspent: u32, given: u32) {
-        self.left.fetch_add(unspent.min(given), Ordering::AcqRel);
+        self.shared.fetch_add(unspent.min(given), Ordering::AcqRel);
     }
 }
 
@@ -107,77 +107,75 @@
     before.unwrap_or(0).min(wanted)
 }
 
-/// Share of `left` that travels with one child call: half, rounded up. All of
-/// it would leave nothing for a parallel sibling; a fixed share would leave
-/// nothing to the last hops.
+/// Returns the share of `left` that is sent with one child call: half, rounded up. Sending all
+/// of it would leave nothing for a parallel sibling; a fixed share would leave nothing for the
+/// last hops.
 pub fn share_for_child(left: u32) -> u32 {
     left.div_ceil(2)
 }
 
-/// Most of [`RetryPolicy::least_retries`]: about as many calls of one node to one
-/// service are cut off at once by a restart.
-pub(crate) const LEAST_RETRIES_MAX: u32 = 8;
+/// Maximum of [`RetryPolicy::min_retries`]: about the number of calls from one node to one
+/// service that a restart interrupts at once.
+pub(crate) const MAX_MIN_RETRIES: u32 = 8;
 
-/// Numbers of [`EdgeRetryBudget`].
+/// Parameters of [`EdgeRetryBudget`].
 #[derive(Clone, Copy, Debug)]
 pub struct RetryPolicy {
-    /// Retries per thousand first tries that an edge may carry. At 100, retries
-    /// add a tenth to the load at worst: too little to hold an overload up.
+    /// Retries per thousand first attempts that an edge may carry. At 100, retries add at most a
+    /// tenth to the load, which is too little to sustain an overload.
     pub share_per_mille: u32,
-    /// Retries that an edge may make in any window, however quiet it is: it can
-    /// still repeat the few calls that a restart cut off. Every node has such an
-    /// edge, so in a fleet it is this node's part of what all may make
-    /// ([`crate::EdgeRetryBudgets`]).
-    pub least_retries: u32,
+    /// Retries that an edge may make in any window, however few calls it carries, so that it can
+    /// repeat the few calls interrupted by a restart. Every node has such an edge, so this is
+    /// the node's part of a limit on the whole fleet ([`crate::EdgeRetryBudgets`]).
+    pub min_retries: u32,
 }
 
 impl Default for RetryPolicy {
     fn default() -> Self {
         RetryPolicy {
             share_per_mille: 100,
-            least_retries: LEAST_RETRIES_MAX,
+            min_retries: MAX_MIN_RETRIES,
         }
     }
 }
 
-/// What the retry of one call is taken from.
+/// Budgets that the retry of one call is taken from.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget<'a> {
-    /// Of the request.
+    /// Allowance of the request.
     pub allowance: &'a RetryAllowance,
-    /// Of the edge to the service that is called.
+    /// Budget of the edge to the called service.
     pub edge: &'a EdgeRetryBudget,
-    /// Where the request stands among those that draw on the edge.
+    /// Priority of the request among those that use the edge.
     pub priority: RetryPriority,
 }
 
-/// What to do about a call that ended without an answer.
+/// Decision on a call that ended without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Send it again; one retry is taken from allowance and edge.
+    /// Send it again; one retry was taken from the allowance and from the edge.
     Retry,
-    /// Pass the end up as it is.
+    /// Return the outcome to the caller.
     PassUp,
-    /// Pass it up: another try could not end in the time left.
+    /// Return the outcome: another attempt could not finish in the time left.
     TooLate,
-    /// Pass it up: another try could help, but the request's allowance is used up.
+    /// Return the outcome: another attempt could help, but the allowance of the request is used
+    /// up.
     AllowanceSpent,
-    /// Pass it up: another try could help, but the edge's share is used up, or kept
-    /// for requests before this one.
+    /// Return the outcome: another attempt could help, but the edge's share is used up or
+    /// reserved for requests with a higher priority.
     EdgeSpent,
 }
 
-/// Whether a call that ended without an answer is sent again.
+/// Decides whether a call that ended without an answer is sent again.
 ///
-/// Load: any fault below. Harm: a refusal for overload that is retried adds to
-/// the very load it was refused for, at every hop above; so such refusals are
-/// passed up with their Retry-After. One of the upstream itself is another
-/// matter: its node had counted a free slot for the call, so load is not the
-/// cause, and a share of all calls is turned away whatever their number. A
-/// request that needs eight answers of such a service gets none without
-/// retries. An unknown outcome is repeated only where the operators declared the
-/// request idempotent. A retry that cannot finish in the time left would be work
-/// for nobody.
+/// Retrying a refusal for overload at every hop would add to the very load that caused it, so
+/// such refusals are returned to the caller with their Retry-After. A refusal by the upstream
+/// itself is different: its node had counted a free slot for the call, so load is not the cause,
+/// and a share of all calls is rejected whatever their number. A request that needs eight
+/// answers from such a service gets none without retries. A call with an unknown outcome is
+/// repeated only if the operators declared the request idempotent. A retry that cannot finish in
+/// the time left would be wasted work.
 pub fn decide_retry(
     unfinished: &CallFailure,
     idempotent: bool,
@@ -187,8 +185,8 @@
     now: Instant,
 ) -> RetryDecision {
     let safe = match unfinished {
-        CallFailure::NotRun(refusal) => is_passing_fault(refusal.reason),
-        CallFailure::Unknown(reason) => idempotent && is_passing_fault(*reason),
+        CallFailure::NotRun(refusal) => is_transient_fault(refusal.reason),
+        CallFailure::Unknown(reason) => idempotent && is_transient_fault(*reason),
     };
     if !safe {
         return RetryDecision::PassUp;
@@ -196,23 +194,22 @@
     if time_left < expected {
         return RetryDecision::TooLate;
     }
-    let part = budget.allowance.part_for(unfinished);
-    if take_from(part, 1) == 0 {
+    let pool = budget.allowance.pool_for(unfinished);
+    if take_from(pool, 1) == 0 {
         return RetryDecision::AllowanceSpent;
     }
     if !budget.edge.try_take(budget.priority, now) {
-        part.fetch_add(1, Ordering::AcqRel);
+        pool.fetch_add(1, Ordering::AcqRel);
         return RetryDecision::EdgeSpent;
     }
     RetryDecision::Retry
 }
 
-/// End of a call that was sent several times, as the caller is told it.
+/// Returns the outcome reported to the caller of a call that was sent several times.
 ///
-/// Load: a retry after an unknown outcome is refused. Harm: "not run" would be
-/// a lie, as the first send may have run, and the caller would send it again as
-/// if nothing had happened. Unknown once is unknown in the end, unless a later
-/// send is answered.
+/// When a retry after an unknown outcome is refused, reporting "not run" would be wrong: the
+/// first send may have run, and the caller would repeat it as if nothing had happened. An unknown outcome therefore
+/// stays unknown unless a later send is answered.
 pub fn combined_outcome(earlier: Option<CallFailure>, last: CallFailure) -> CallFailure {
     match earlier {
         Some(CallFailure::Unknown(reason)) => CallFailure::Unknown(reason),
@@ -220,8 +217,9 @@
     }
 }
 
-/// Faults of one node, link or upstream that another node need not share.
-fn is_passing_fault(reason: Reason) -> bool {
+/// Returns whether the reason is a fault of one node, link or upstream that other nodes need not
+/// share.
+fn is_transient_fault(reason: Reason) -> bool {
     matches!(
         reason,
         Reason::LinkLost
--- a/crates/hemlocktack-decide/src/sends.rs
+++ b/crates/hemlocktack-decide/src/sends.rs
@@ -1,46 +1,45 @@
-//! The sends of one call: where it may go next, and what ends them.
+//! The sends of one call: where it may go next, and when it ends.
 
 use std::time::Duration;
 
 use hemlocktack_protocol::{CallFailure, Reason};
 use strum::{EnumCount, EnumIter, IntoStaticStr};
 
-use crate::moves::Moves;
+use crate::moves::MoveCounter;
 use crate::retry::RetryDecision;
 
-/// Pause before a call goes again to upstreams that have turned it away, for each
-/// time but the first: a quarter of what today's shortest calls take. An upstream
-/// that turns a share of its calls away takes the next one as soon as any; one
-/// that is full is not asked hundreds of times a second.
-const PAUSE_A_TURN: Duration = Duration::from_millis(4);
+/// Delay before a call is sent again to upstreams that have rejected it, multiplied by the
+/// rejections after the first: a quarter of the shortest call durations. An upstream that
+/// rejects a share of its calls may accept the next one immediately; a full one is not asked
+/// hundreds of times a second.
+const RESEND_DELAY_STEP: Duration = Duration::from_millis(4);
 
 /// What follows a send that ended without an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EnumCount, EnumIter, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum NextStep {
-    /// Another node gets the call. It was not handed to an upstream, so this is
-    /// no retry.
+    /// The call goes to another node. It was not handed to an upstream, so this is not a retry.
     Moved,
-    /// It is sent again, and a retry was taken for it.
+    /// The call is sent again, and a retry was taken for it.
     Retried,
-    /// Its caller is told: as many upstreams may have run it as its route allows.
+    /// Returned to the caller: as many upstreams may have run the call as its route allows.
     UpstreamsUsedUp,
-    /// Its caller is told: no node is left that may get it.
+    /// Returned to the caller: no other node may get the call.
     NoNodeLeft,
-    /// Its caller is told: it may not run twice, or another node would refuse it
-    /// as well.
+    /// Returned to the caller: the call must not run twice, or another node would refuse it as
+    /// well.
     PassedUp,
-    /// Its caller is told: no further run could end in the time left.
+    /// Returned to the caller: another run could not finish in the time left.
     TooLate,
-    /// Its caller is told: the request has no retry left for it.
+    /// Returned to the caller: the request has no retries left.
     AllowanceUsedUp,
-    /// Its caller is told: the share of retries to its service is used up, or kept
-    /// for more important requests.
+    /// Returned to the caller: the share of retries to the service is used up or reserved for
+    /// more important requests.
     EdgeUsedUp,
 }
 
 impl NextStep {
-    /// Whether the call is sent once more.
+    /// Returns whether the call is sent again.
     pub fn sends_again(self) -> bool {
         matches!(self, NextStep::Moved | NextStep::Retried)
     }
@@ -58,85 +57,85 @@
     }
 }
 
-/// The sends of one call so far. Nodes are known by their index in the view that
-/// the call is placed by.
+/// The sends of one call so far. Nodes are identified by their index in the view used for
+/// placement.
 ///
-/// Load: upstreams that run calls and lose the answers. Harm: the allowance of a
-/// whole chain may hold more retries than one call's route has upstreams for, so a
-/// call that draws on it alone runs on one upstream after the other. Each call
-/// keeps count of its own, wherever in the chain it is made, and the allowance and
-/// the edge's share only lower what its route allows.
+/// If upstreams run calls and lose the answers, a call limited only by the allowance of its
+/// chain could run on one upstream after another, because that allowance may hold more retries
+/// than the call's route allows upstreams. Each call therefore counts its own sends, wherever in
+/// the chain it is made, and the allowance and the edge's share only reduce what its route
+/// allows.
 #[derive(Debug)]
 pub struct CallSends {
-    upstreams_most: usize,
-    /// The node that ended the last one.
-    last: Option<usize>,
-    /// Nodes whose upstreams the call was handed to, or may have been.
+    max_upstreams: usize,
+    /// Node of the last send that ended.
+    last_node: Option<usize>,
+    /// Nodes whose upstreams got the call or may have got it.
     reached: Vec<usize>,
-    /// Sends after which it may have run.
+    /// Sends after which the call may have run.
     may_have_run: usize,
-    /// Times that an upstream has turned it away.
-    turned_away: u32,
-    moves: Moves,
+    /// How often an upstream has rejected the call.
+    rejections: u32,
+    moves: MoveCounter,
 }
 
 impl CallSends {
-    /// No send yet of a call that `upstreams_most` upstreams may get.
-    pub fn new(upstreams_most: usize) -> Self {
+    /// Creates the record of a call that may reach `max_upstreams` upstreams, without any sends.
+    pub fn new(max_upstreams: usize) -> Self {
         CallSends {
-            upstreams_most,
-            last: None,
+            max_upstreams,
+            last_node: None,
             reached: Vec::new(),
             may_have_run: 0,
-            turned_away: 0,
-            moves: Moves::default(),
+            rejections: 0,
+            moves: MoveCounter::default(),
         }
     }
 
-    /// Whether the next send may go to this node: another than the last one, and
-    /// one that has turned the call away may be asked again.
+    /// Returns whether the next send may go to this node: any but the last one. Once the limit
+    /// of upstreams is reached, only nodes that already got the call.
     pub fn may_send_to(&self, node: usize) -> bool {
-        let may_be_new = self.reached.len() < self.upstreams_most;
-        self.last != Some(node) && (may_be_new || self.reached.contains(&node))
+        let may_be_new = self.reached.len() < self.max_upstreams;
+        self.last_node != Some(node) && (may_be_new || self.reached.contains(&node))
     }
 
-    /// The node that gets it again where [`CallSends::may_send_to`] leaves none.
+    /// Returns the node that gets the call again if [`CallSends::may_send_to`] allows none.
     pub fn resend_target(&self) -> Option<usize> {
-        self.last.filter(|_| self.turned_away > 0)
+        self.last_node.filter(|_| self.rejections > 0)
     }
 
-    /// Whether the next send comes after one that an upstream got.
+    /// Returns whether an earlier send reached an upstream.
     pub fn is_repeat(&self) -> bool {
         !self.reached.is_empty()
     }
 
-    /// Upstreams that got the call, or may have.
+    /// Returns how many upstreams got the call or may have got it.
     pub fn upstreams_reached(&self) -> usize {
         self.reached.len()
     }
 
-    /// How long to wait before the next send, if at all: a timer costs each call
+    /// Returns the delay before the next send. `None` avoids a timer, which would cost each call
     /// up to a millisecond.
     pub fn resend_delay(&self) -> Option<Duration> {
-        let turns = self.turned_away.saturating_sub(1);
-        (turns > 0).then(|| PAUSE_A_TURN * turns)
+        let turns = self.rejections.saturating_sub(1);
+        (turns > 0).then(|| RESEND_DELAY_STEP * turns)
     }
 
-    /// Counts the end of a send to this node.
+    /// Records the end of a send to this node.
     pub fn send_ended(&mut self, node: usize, unfinished: &CallFailure) {
-        self.last = Some(node);
+        self.last_node = Some(node);
         let may_have_run = matches!(unfinished, CallFailure::Unknown(_));
-        let is_turned_away = unfinished.reason() == Reason::UpstreamShed;
+        let is_rejected = unfinished.reason() == Reason::UpstreamShed;
         self.may_have_run += usize::from(may_have_run);
-        self.turned_away += u32::from(is_turned_away);
-        let was_handed_over = may_have_run || is_turned_away;
-        if was_handed_over && !self.reached.contains(&node) {
+        self.rejections += u32::from(is_rejected);
+        let reached_upstream = may_have_run || is_rejected;
+        if reached_upstream && !self.reached.contains(&node) {
             self.reached.push(node);
         }
     }
 
-    /// What follows the end that was counted last. `retry` takes a retry if there is
-    /// one; it is asked only where the call would be sent again with it.
+    /// Decides what follows the outcome recorded last. `retry` takes a retry if there is one; it
+    /// is called only if the call would then be sent again.
     pub fn next_step(
         &mut self,
         unfinished: &CallFailure,
@@ -144,11 +143,11 @@
         retry: impl FnOnce() -> RetryDecision,
     ) -> NextStep {
         match unfinished {
-            CallFailure::Unknown(_) if self.may_have_run >= self.upstreams_most => {
+            CallFailure::Unknown(_) if self.may_have_run >= self.max_upstreams => {
                 NextStep::UpstreamsUsedUp
             }
             _ if !has_node_left => NextStep::NoNodeLeft,
-            CallFailure::NotRun(refusal) if self.moves.take(refusal) => NextStep::Moved,
+            CallFailure::NotRun(refusal) if self.moves.try_move(refusal) => NextStep::Moved,
             _ => retry().into(),
         }
     }
--- a/crates/hemlocktack-decide/src/shed/chain_edges.rs
+++ b/crates/hemlocktack-decide/src/shed/chain_edges.rs
@@ -1,20 +1,20 @@
-//! Which deeper calls a call goes on to.
+//! Learns which child calls each kind of call makes.
 
 use std::collections::HashMap;
 
 use super::ShedLevel;
 use crate::WorkKind;
 
-/// Which deeper services calls of one kind need, learnt on the node beside the
-/// upstream that makes those deeper calls.
+/// Records which services calls of one kind depend on. It is learnt on the node beside the
+/// upstream that makes the child calls.
 ///
-/// Load: a deep service that sheds. Harm: its refusal comes after every hop
-/// above it has worked. The level of a service that (nearly) every call of a
-/// kind goes on to is therefore passed up, reply by reply, to the entry. A
-/// service that only some calls need is not: their entry cannot tell which.
+/// When a service deep in the chain sheds, its refusal arrives only after every hop above it has
+/// done work. The shed level of a service that (nearly) every call of a kind needs is therefore
+/// passed up with the replies to the entry. A service that only some calls need is left out,
+/// because the entry cannot tell which calls these are.
 #[derive(Debug, Default)]
 pub struct ChainEdges {
-    /// Share of the caller's calls that go on to the callee.
+    /// Share of the caller's calls that call the callee.
     shares: HashMap<Edge, f64>,
 }
 
@@ -24,18 +24,17 @@
     callee: WorkKind,
 }
 
-/// Share of a kind's calls that must need a service before its level is passed
-/// up.
-const NEEDED_SHARE: f64 = 0.9;
-const EDGE_WEIGHT: f64 = 0.05;
+/// Minimum share of a kind's calls that must need a service for its level to be passed up.
+const REQUIRED_SHARE: f64 = 0.9;
+const SAMPLE_WEIGHT: f64 = 0.05;
 
 impl ChainEdges {
-    /// A call of `kind` was answered having made deeper calls of these kinds.
+    /// Records that a call of `kind` was answered after making child calls of these kinds.
     pub fn record_answer(&mut self, kind: WorkKind, deeper: &[WorkKind]) {
         let of_kind = |edge: &Edge| edge.caller == kind;
         for (edge, share) in self.shares.iter_mut().filter(|(edge, _)| of_kind(edge)) {
             let needed = f64::from(u8::from(deeper.contains(&edge.callee)));
-            *share += (needed - *share) * EDGE_WEIGHT;
+            *share += (needed - *share) * SAMPLE_WEIGHT;
         }
         for &callee in deeper {
             let edge = Edge {
@@ -46,11 +45,11 @@
         }
     }
 
-    /// Strictest level among the kinds of deeper calls that calls of `kind` need.
+    /// Returns the strictest level among the kinds of child calls that calls of `kind` need.
     pub fn level(&self, kind: WorkKind, level_of: impl Fn(WorkKind) -> ShedLevel) -> ShedLevel {
         self.shares
             .iter()
-            .filter(|(edge, share)| edge.caller == kind && **share >= NEEDED_SHARE)
+            .filter(|(edge, share)| edge.caller == kind && **share >= REQUIRED_SHARE)
             .map(|(edge, _)| level_of(edge.callee))
             .min()
             .unwrap_or(ShedLevel::OPEN)
--- a/crates/hemlocktack-decide/src/shed/entry.rs
+++ b/crates/hemlocktack-decide/src/shed/entry.rs
@@ -1,4 +1,4 @@
-//! Shed levels of other services, applied where requests enter.
+//! Applies the shed levels of other services where requests enter.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -9,53 +9,53 @@
 use super::level::CLASS_SPAN;
 use crate::WorkKind;
 
-/// Numbers of [`EntryShedder`].
+/// Parameters of [`EntryShedder`].
 #[derive(Clone, Copy, Debug)]
 pub struct EntryShedPolicy {
-    /// A level that was not heard again for this long no longer refuses: the
-    /// upstream may have recovered or gone.
-    pub forget_after: Duration,
-    /// While every request is refused no reply brings news, so one request is
-    /// let through this often as a probe.
-    pub probe_every: Duration,
-    /// Extra share of a class that calls with spent work are let in with: the
-    /// level that the root met at its entry may since have moved this far.
-    pub invested_margin: f64,
+    /// Age at which a level no longer refuses requests: the upstream may have recovered or left.
+    pub expires_after: Duration,
+    /// While every request is refused, no reply updates the level, so one request is let through
+    /// at this interval as a probe.
+    pub probe_interval: Duration,
+    /// Additional share of a class admitted for calls with prior work: the level applied to the
+    /// root at its entry may have changed by this much since.
+    pub prior_work_margin: f64,
 }
 
 impl Default for EntryShedPolicy {
     fn default() -> Self {
         EntryShedPolicy {
-            forget_after: Duration::from_secs(1),
-            probe_every: Duration::from_millis(50),
-            invested_margin: 1.0,
+            expires_after: Duration::from_secs(1),
+            probe_interval: Duration::from_millis(50),
+            prior_work_margin: 1.0,
         }
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-struct HeardLevel {
+struct ReportedLevel {
     level: ShedLevel,
     at: Instant,
 }
 
-/// What one node knows of one service's shed levels, heard on replies.
+/// The shed levels of one service as one node knows them from replies.
 ///
-/// Load: a service that sheds. Harm: a request that is refused after hops have
-/// worked for it wastes their work; one refused here costs nothing. The loosest
-/// level of the service's upstreams counts, since placement leads to the
-/// upstream that has room; a single slow upstream must not shed for all.
+/// A request that is refused after other hops have worked for it wastes that work; a refusal
+/// here costs nothing. The least strict level among the service's upstreams applies, since
+/// placement selects an upstream with spare capacity; a single slow upstream must not cause
+/// shedding for all.
 #[derive(Debug)]
 pub struct EntryShedder {
     policy: EntryShedPolicy,
-    upstreams: Vec<Option<HeardLevel>>,
-    /// Level of the deeper services that calls of one kind need.
-    chains: HashMap<WorkKind, HeardLevel>,
+    upstreams: Vec<Option<ReportedLevel>>,
+    /// Shed level of the services that calls of a kind depend on.
+    chains: HashMap<WorkKind, ReportedLevel>,
     probed_at: Option<Instant>,
 }
 
 impl EntryShedder {
-    /// Knows of nothing; `upstreams` are numbered as in the node's directory of the service.
+    /// Creates a shedder without known levels. `upstreams` are numbered as in the node's
+    /// directory of the service.
     pub fn new(policy: EntryShedPolicy, upstreams: usize) -> Self {
         EntryShedder {
             policy,
@@ -65,10 +65,10 @@
         }
     }
 
-    /// Takes in the hint of a reply to a call of `kind` from one upstream.
+    /// Records the load hint in the reply of one upstream to a call of `kind`.
     pub fn learn(&mut self, upstream: usize, kind: WorkKind, hint: &LoadHint, now: Instant) {
         if let Some(entry) = self.upstreams.get_mut(upstream) {
-            *entry = Some(HeardLevel {
+            *entry = Some(ReportedLevel {
                 level: ShedLevel::unpack(hint.shed_level),
                 at: now,
             });
@@ -77,11 +77,11 @@
         if level == ShedLevel::OPEN {
             self.chains.remove(&kind);
         } else {
-            self.chains.insert(kind, HeardLevel { level, at: now });
+            self.chains.insert(kind, ReportedLevel { level, at: now });
         }
     }
 
-    /// Level that holds for calls of `kind` now.
+    /// Returns the level that currently applies to calls of `kind`.
     pub fn level(&self, kind: WorkKind, now: Instant) -> ShedLevel {
         let own = self
             .upstreams
@@ -99,21 +99,21 @@
         own.min(chain)
     }
 
-    /// Whether a request may go on to the service.
+    /// Returns whether a request may be sent to the service.
     pub fn admits(
         &mut self,
         kind: WorkKind,
         rank: ClassRank,
         root_request_id: RootRequestId,
-        invested: bool,
+        has_prior_work: bool,
         now: Instant,
     ) -> bool {
         let level = self.level(kind, now);
         if level == ShedLevel::OPEN {
             return true;
         }
-        let margin = if invested {
-            self.policy.invested_margin
+        let margin = if has_prior_work {
+            self.policy.prior_work_margin
         } else {
             0.0
         };
@@ -127,19 +127,19 @@
     fn probe(&mut self, now: Instant) -> bool {
         let due = self
             .probed_at
-            .is_none_or(|at| now.saturating_duration_since(at) >= self.policy.probe_every);
+            .is_none_or(|at| now.saturating_duration_since(at) >= self.policy.probe_interval);
         let silent = self
             .upstreams
             .iter()
             .flatten()
-            .all(|heard| now.saturating_duration_since(heard.at) >= self.policy.probe_every);
+            .all(|heard| now.saturating_duration_since(heard.at) >= self.policy.probe_interval);
         if due && silent {
             self.probed_at = Some(now);
         }
         due && silent
     }
 
-    fn is_fresh(&self, heard: &HeardLevel, now: Instant) -> bool {
-        now.saturating_duration_since(heard.at) < self.policy.forget_after
+    fn is_fresh(&self, heard: &ReportedLevel, now: Instant) -> bool {
+        now.saturating_duration_since(heard.at) < self.policy.expires_after
     }
 }
--- a/crates/hemlocktack-decide/src/shed/mod.rs
+++ b/crates/hemlocktack-decide/src/shed/mod.rs
@@ -1,5 +1,5 @@
-//! Shed level: which requests a service has room for, worked out on the node
-//! beside an upstream and applied where requests enter.
+//! Load shedding: the shed level is computed on the node beside an upstream and applied where
+//! requests enter.
 
 mod chain_edges;
 mod controller;
--- a/crates/hemlocktack-decide/src/suspects.rs
+++ b/crates/hemlocktack-decide/src/suspects.rs
@@ -1,25 +1,25 @@
-//! Suspected calls that wait at one upstream, and the one that runs.
+//! Queue of suspected calls at one upstream, and the one that runs.
 
 use hemlocktack_protocol::CallId;
 
-use crate::queue::Waiting;
+use crate::queue::QueuedCall;
 
-/// Suspected calls that may wait. They are tried one after the other; more than
-/// this would not come to their turn within a caller's patience.
-const MOST_WAITING: usize = 64;
+/// Maximum number of queued suspects. They run one after the other, so that further ones would
+/// not start before their callers time out.
+const MAX_WAITING: usize = 64;
 
-/// Suspects wait apart from other calls, which they must not hold up, and run
-/// one at a time: if the upstream crashes meanwhile, the one is named.
+/// Suspects are queued separately so that they do not delay other calls, and run one at a time,
+/// so that a crash identifies the one that was running.
 #[derive(Debug)]
 pub(crate) struct SuspectQueue {
-    waiting: Vec<Waiting>,
+    waiting: Vec<QueuedCall>,
     running: Option<CallId>,
 }
 
 impl SuspectQueue {
     pub(crate) fn new() -> Self {
         SuspectQueue {
-            waiting: Vec::with_capacity(MOST_WAITING),
+            waiting: Vec::with_capacity(MAX_WAITING),
             running: None,
         }
     }
@@ -32,16 +32,16 @@
         self.waiting.is_empty()
     }
 
-    /// False when no more may wait.
-    pub(crate) fn push(&mut self, call: Waiting) -> bool {
-        let has_room = self.waiting.len() < MOST_WAITING;
+    /// Queues a call; returns false if the queue is full.
+    pub(crate) fn push(&mut self, call: QueuedCall) -> bool {
+        let has_room = self.waiting.len() < MAX_WAITING;
         if has_room {
             self.waiting.push(call);
         }
         has_room
     }
 
-    /// False when no such call waits.
+    /// Removes a call; returns false if it is not queued.
     pub(crate) fn remove(&mut self, call_id: CallId) -> bool {
         let index = self.waiting.iter().position(|call| call.call_id == call_id);
         let Some(index) = index else {
@@ -51,8 +51,8 @@
         true
     }
 
-    /// Takes out the call whose turn it is, if none runs.
-    pub(crate) fn next(&mut self) -> Option<Waiting> {
+    /// Removes the next call to run, unless a suspect is running.
+    pub(crate) fn next(&mut self) -> Option<QueuedCall> {
         let is_due = self.running.is_none() && !self.waiting.is_empty();
         is_due.then(|| self.waiting.remove(0))
     }
@@ -67,18 +67,18 @@
         }
     }
 
-    /// The suspect that ran when the upstream died.
+    /// Removes and returns the suspect that was running when the upstream crashed.
     pub(crate) fn take_running(&mut self) -> Option<CallId> {
         self.running.take()
     }
 
-    pub(crate) fn take_hopeless(
+    pub(crate) fn take_matching(
         &mut self,
-        is_hopeless: impl Fn(&Waiting) -> bool,
-        taken: impl FnMut(Waiting),
+        matches: impl Fn(&QueuedCall) -> bool,
+        taken: impl FnMut(QueuedCall),
     ) {
         self.waiting
-            .extract_if(.., |call| is_hopeless(call))
+            .extract_if(.., |call| matches(call))
             .for_each(taken);
     }
 }
--- a/crates/hemlocktack-decide/src/work.rs
+++ b/crates/hemlocktack-decide/src/work.rs
@@ -1,73 +1,73 @@
-//! What a call of each kind of work takes, learnt from finished calls.
+//! Estimates of how long calls of each kind take, learnt from finished calls.
 
 use std::time::{Duration, Instant};
 
 use crate::WorkKind;
 use crate::mix::mix;
 
-/// Kinds told apart at one upstream. Kinds that fall on the same entry share
-/// its estimates, which then lie between theirs; 32 leaves that rare for the
-/// few request rules of one service.
-const KINDS: usize = 32;
-/// Weight of one sample: the mean follows the last 32 or so calls, which damps
-/// the spread of single calls to a fifth.
+/// Entries of the table of estimates for one upstream. Kinds that hash to the same entry share
+/// an estimate between theirs; with 32 entries this is rare for the few request rules of one
+/// service.
+const TRACKED_KINDS: usize = 32;
+/// Weight of one sample: the mean covers about the last 32 calls, which reduces the variation of
+/// single calls to a fifth.
 const SAMPLE_WEIGHT: f64 = 1.0 / 32.0;
-/// Samples before a mean may become the floor.
-const SAMPLES_BEFORE_FLOOR: u32 = 32;
-/// Age at which a floor is dropped: an upstream that has become slower for good
-/// is measured against its new self after at most twice this. Longer than the
-/// time between two trials of the limit, so that each floor is from a time
-/// without a queue inside the upstream.
-const FLOOR_EPOCH: Duration = Duration::from_secs(15);
-
-/// Time without a finished call after which what the last ones waited for deeper
-/// calls says nothing any more: as long as a shed level is remembered.
+/// Samples before a mean may become the baseline.
+const MIN_BASELINE_SAMPLES: u32 = 32;
+/// Period after which a baseline is dropped: an upstream that has become slower for good is
+/// measured against its new latency after at most twice this time. It is longer than the time
+/// between two trials of the limit, so that each baseline includes a time without a queue inside
+/// the upstream.
+const BASELINE_PERIOD: Duration = Duration::from_secs(15);
+
+/// Time without finished calls over which the estimate of the wait for child calls decays to
+/// zero: as long as a shed level is kept.
 ///
-/// Load: an overload of a deeper service. Harm: calls of a kind take longer than
-/// their callers wait, so that all are refused; none finishes that could show
-/// that the way is free again, and they are refused for as long as the node
-/// lives. What the upstream itself takes does not depend on others and is kept.
-const WAIT_BELOW_FORGOTTEN_AFTER: Duration = Duration::from_secs(1);
+/// When a child service is overloaded, calls of a kind may take longer than their callers'
+/// timeout, so that all of them are refused. No call then finishes to show that the child
+/// service has recovered, and without the decay they would be refused for the lifetime of the
+/// node. The upstream's own service time does not depend on other services and is kept.
+const CHILD_WAIT_LIFETIME: Duration = Duration::from_secs(1);
 
 #[derive(Clone, Copy, Debug)]
-struct KindWork {
+struct KindEstimate {
     samples: u32,
     /// When the last call of the kind finished.
-    seen_at: Option<Instant>,
+    last_finished_at: Option<Instant>,
     total_secs: f64,
     own_secs: f64,
-    floor_secs: f64,
-    previous_floor_secs: f64,
+    baseline_secs: f64,
+    previous_baseline_secs: f64,
 }
 
-const UNKNOWN: KindWork = KindWork {
+const NO_SAMPLES: KindEstimate = KindEstimate {
     samples: 0,
-    seen_at: None,
+    last_finished_at: None,
     total_secs: 0.0,
     own_secs: 0.0,
-    floor_secs: f64::INFINITY,
-    previous_floor_secs: f64::INFINITY,
+    baseline_secs: f64::INFINITY,
+    previous_baseline_secs: f64::INFINITY,
 };
 
-/// Estimates for each kind and over all kinds.
+/// Estimates per kind and over all kinds.
 #[derive(Debug)]
-pub(crate) struct WorkTable {
-    kinds: [KindWork; KINDS],
-    all: KindWork,
-    epoch_began: Instant,
+pub(crate) struct WorkEstimates {
+    kinds: [KindEstimate; TRACKED_KINDS],
+    all: KindEstimate,
+    period_began: Instant,
 }
 
-impl WorkTable {
+impl WorkEstimates {
     pub(crate) fn new(now: Instant) -> Self {
-        WorkTable {
-            kinds: [UNKNOWN; KINDS],
-            all: UNKNOWN,
-            epoch_began: now,
+        WorkEstimates {
+            kinds: [NO_SAMPLES; TRACKED_KINDS],
+            all: NO_SAMPLES,
+            period_began: now,
         }
     }
 
-    /// Takes in a finished call: its whole time and the part without deeper
-    /// calls. Returns its own time as a multiple of its kind's floor.
+    /// Records a finished call: its total time and the part not spent waiting for child calls.
+    /// Returns the latter as a multiple of the baseline of its kind.
     pub(crate) fn observe(
         &mut self,
         kind: WorkKind,
@@ -75,84 +75,86 @@
         own: Duration,
         now: Instant,
     ) -> f64 {
-        self.drop_old_floors(now);
+        self.expire_baselines(now);
         self.all.observe(total, own, now);
-        let entry = &mut self.kinds[slot(kind)];
+        let entry = &mut self.kinds[entry_index(kind)];
         entry.observe(total, own, now);
-        let floor = entry.floor();
-        if floor.is_finite() && floor > 0.0 {
-            own.as_secs_f64() / floor
+        let baseline = entry.baseline();
+        if baseline.is_finite() && baseline > 0.0 {
+            own.as_secs_f64() / baseline
         } else {
             1.0
         }
     }
 
-    /// Mean time of a call of the kind with its deeper calls; of any call while
-    /// the kind is not known.
+    /// Returns the mean time of a call of the kind, including its child calls; the mean over all
+    /// kinds if the kind is unknown.
     pub(crate) fn expected(&self, kind: WorkKind, now: Instant) -> Duration {
-        let entry = &self.kinds[slot(kind)];
+        let entry = &self.kinds[entry_index(kind)];
         let known = if entry.samples > 0 { entry } else { &self.all };
         Duration::from_secs_f64(known.expected_secs(now))
     }
 
-    /// Mean time of a call of any kind.
+    /// Returns the mean time of a call over all kinds.
     pub(crate) fn expected_any(&self) -> Duration {
         Duration::from_secs_f64(self.all.total_secs)
     }
 
-    /// Takes today's own times as the floors.
-    pub(crate) fn adopt_floors(&mut self) {
+    /// Sets the baselines to the current mean service times.
+    pub(crate) fn adopt_baselines(&mut self) {
         for entry in &mut self.kinds {
-            if entry.floor().is_finite() {
-                entry.floor_secs = entry.own_secs;
-                entry.previous_floor_secs = f64::INFINITY;
+            if entry.baseline().is_finite() {
+                entry.baseline_secs = entry.own_secs;
+                entry.previous_baseline_secs = f64::INFINITY;
             }
         }
     }
 
-    fn drop_old_floors(&mut self, now: Instant) {
-        if now.saturating_duration_since(self.epoch_began) < FLOOR_EPOCH {
+    fn expire_baselines(&mut self, now: Instant) {
+        if now.saturating_duration_since(self.period_began) < BASELINE_PERIOD {
             return;
         }
-        self.epoch_began = now;
+        self.period_began = now;
         for entry in &mut self.kinds {
-            entry.previous_floor_secs = entry.floor_secs;
-            entry.floor_secs = f64::INFINITY;
+            entry.previous_baseline_secs = entry.baseline_secs;
+            entry.baseline_secs = f64::INFINITY;
         }
     }
 }
 
-impl KindWork {
+impl KindEstimate {
     fn observe(&mut self, total: Duration, own: Duration, now: Instant) {
-        self.seen_at = Some(now);
+        self.last_finished_at = Some(now);
         self.samples = self.samples.saturating_add(1);
-        // The first samples weigh as in a plain mean, so that the estimate does
-        // not start from an arbitrary value.
+        // The first samples form a plain mean, so that the estimate does not start from an
+        // arbitrary value.
         let weight = SAMPLE_WEIGHT.max(1.0 / f64::from(self.samples));
         self.total_secs += (total.as_secs_f64() - self.total_secs) * weight;
         self.own_secs += (own.as_secs_f64() - self.own_secs) * weight;
-        if self.samples >= SAMPLES_BEFORE_FLOOR {
-            self.floor_secs = self.floor_secs.min(self.own_secs);
+        if self.samples >= MIN_BASELINE_SAMPLES {
+            self.baseline_secs = self.baseline_secs.min(self.own_secs);
         }
     }
 
-    /// A call that was let in now shows what it takes only after that time, so
-    /// that the wait below begins to be forgotten then.
+    /// Returns the expected time of a call. The wait for child calls starts to decay only after
+    /// the expected duration of a call, because a call admitted now reports its time no sooner.
     fn expected_secs(&self, now: Instant) -> f64 {
-        let age = self.seen_at.map_or(Duration::ZERO, |seen_at| {
-            now.saturating_duration_since(seen_at)
-        });
-        let unseen_secs = (age.as_secs_f64() - self.total_secs).max(0.0);
-        let forgotten = (unseen_secs / WAIT_BELOW_FORGOTTEN_AFTER.as_secs_f64()).min(1.0);
-        let below_secs = (self.total_secs - self.own_secs).max(0.0);
-        self.total_secs - below_secs * forgotten
+        let age = self
+            .last_finished_at
+            .map_or(Duration::ZERO, |last_finished_at| {
+                now.saturating_duration_since(last_finished_at)
+            });
+        let idle_secs = (age.as_secs_f64() - self.total_secs).max(0.0);
+        let forgotten = (idle_secs / CHILD_WAIT_LIFETIME.as_secs_f64()).min(1.0);
+        let child_wait_secs = (self.total_secs - self.own_secs).max(0.0);
+        self.total_secs - child_wait_secs * forgotten
     }
 
-    fn floor(&self) -> f64 {
-        self.floor_secs.min(self.previous_floor_secs)
+    fn baseline(&self) -> f64 {
+        self.baseline_secs.min(self.previous_baseline_secs)
     }
 }
 
-fn slot(kind: WorkKind) -> usize {
-    mix(kind) as usize % KINDS
+fn entry_index(kind: WorkKind) -> usize {
+    mix(kind) as usize % TRACKED_KINDS
 }
--- a/crates/hemlocktack-decide/tests/admission.rs
+++ b/crates/hemlocktack-decide/tests/admission.rs
@@ -60,11 +60,14 @@
         admission.offer(&offer(4, 0, now), now),
         AdmissionDecision::Queued
     );
-    let invested = OfferedCall {
+    let has_prior_work = OfferedCall {
         work_spent: WORK,
         ..offer(5, 1, now)
     };
-    assert_eq!(admission.offer(&invested, now), AdmissionDecision::Queued);
+    assert_eq!(
+        admission.offer(&has_prior_work, now),
+        AdmissionDecision::Queued
+    );
     let mut order = Vec::new();
     for done in [1, 2, 4, 5] {
         admission.finish(done, RunResult::Answered, Duration::ZERO, now + WORK);
--- a/crates/hemlocktack-decide/tests/edge_budget.rs
+++ b/crates/hemlocktack-decide/tests/edge_budget.rs
@@ -6,19 +6,19 @@
 
 const POLICY: RetryPolicy = RetryPolicy {
     share_per_mille: 160,
-    least_retries: 8,
+    min_retries: 8,
 };
 /// Checks of one node at a deep service.
-const FIRST_TRIES_A_SECOND: u32 = 200;
+const FIRST_ATTEMPTS_PER_SECOND: u32 = 200;
 const SECOND: Duration = Duration::from_secs(1);
 
 /// Tries and retries of each second; every first try asks for `wanted` retries.
-fn play(edge: &EdgeRetryBudget, from: Instant, first_tries: &[u32], wanted: u32) -> Vec<u32> {
-    let play_second = |(second, first_tries): (usize, &u32)| {
+fn play(edge: &EdgeRetryBudget, from: Instant, first_attempts: &[u32], wanted: u32) -> Vec<u32> {
+    let play_second = |(second, first_attempts): (usize, &u32)| {
         let begin = from + SECOND * second as u32;
-        let pause = SECOND / (first_tries + 1);
-        let tries = (0..*first_tries).map(|number| begin + pause * number);
-        tries
+        let pause = SECOND / (first_attempts + 1);
+        let attempts = (0..*first_attempts).map(|number| begin + pause * number);
+        attempts
             .map(|now| {
                 edge.record_first_attempt(now);
                 (0..wanted)
@@ -27,7 +27,7 @@
             })
             .sum()
     };
-    first_tries.iter().enumerate().map(play_second).collect()
+    first_attempts.iter().enumerate().map(play_second).collect()
 }
 
 /// The upstreams of a deep service turn away half of what they get for eight
@@ -39,11 +39,11 @@
 fn a_fault_of_seconds_may_use_the_share_of_the_calls_before_it() {
     let now = Instant::now();
     let edge = EdgeRetryBudget::new(POLICY, now);
-    let before = [FIRST_TRIES_A_SECOND; 12];
+    let before = [FIRST_ATTEMPTS_PER_SECOND; 12];
     assert_eq!(play(&edge, now, &before, 0), [0; 12]);
-    let during = [FIRST_TRIES_A_SECOND / 3; 8];
+    let during = [FIRST_ATTEMPTS_PER_SECOND / 3; 8];
     let retries: u32 = play(&edge, now + SECOND * 12, &during, 10).iter().sum();
-    let share_before = 10 * FIRST_TRIES_A_SECOND * POLICY.share_per_mille / 1000;
+    let share_before = 10 * FIRST_ATTEMPTS_PER_SECOND * POLICY.share_per_mille / 1000;
     assert!(retries <= share_before, "{retries} of {share_before}");
     assert!(
         retries * 10 >= share_before * 9,
@@ -57,13 +57,13 @@
 fn an_edge_carries_at_most_its_share_in_any_window() {
     let now = Instant::now();
     let edge = EdgeRetryBudget::new(POLICY, now);
-    let retries = play(&edge, now, &[FIRST_TRIES_A_SECOND; 60], 1);
-    let most = 10 * FIRST_TRIES_A_SECOND * POLICY.share_per_mille / 1000 + POLICY.least_retries;
+    let retries = play(&edge, now, &[FIRST_ATTEMPTS_PER_SECOND; 60], 1);
+    let most = 10 * FIRST_ATTEMPTS_PER_SECOND * POLICY.share_per_mille / 1000 + POLICY.min_retries;
     for window in retries.windows(10) {
         assert!(window.iter().sum::<u32>() <= most, "{retries:?}");
     }
     let all: u32 = retries.iter().sum();
-    assert!(all * 10 >= 60 * FIRST_TRIES_A_SECOND * POLICY.share_per_mille / 1000 * 9);
+    assert!(all * 10 >= 60 * FIRST_ATTEMPTS_PER_SECOND * POLICY.share_per_mille / 1000 * 9);
 }
 
 /// A quiet edge whose node sees a handful of calls can still repeat what a
@@ -100,8 +100,8 @@
     let (mut whole, mut part) = (0, 0);
     for request in 0..requests {
         let now = begin + SECOND * request as u32 / requests as u32;
-        let standing = RetryPriority::new(class, CLASSES, request * 7 + 1, false);
-        let taken = (0..4).take_while(|_| edge.try_take(standing, now)).count();
+        let priority = RetryPriority::new(class, CLASSES, request * 7 + 1, false);
+        let taken = (0..4).take_while(|_| edge.try_take(priority, now)).count();
         whole += u64::from(taken == 4);
         part += u64::from((1..4).contains(&taken));
     }
@@ -116,7 +116,7 @@
 fn a_scarce_share_goes_to_whole_requests() {
     let now = Instant::now();
     let edge = EdgeRetryBudget::new(POLICY, now);
-    play(&edge, now, &[FIRST_TRIES_A_SECOND; 10], 0);
+    play(&edge, now, &[FIRST_ATTEMPTS_PER_SECOND; 10], 0);
     let mut lookups = Vec::new();
     let mut grants = 0;
     for second in 10..18 {
@@ -136,10 +136,10 @@
 fn a_fault_within_the_share_is_answered_whole() {
     let now = Instant::now();
     let edge = EdgeRetryBudget::new(POLICY, now);
-    play(&edge, now, &[FIRST_TRIES_A_SECOND; 10], 0);
+    play(&edge, now, &[FIRST_ATTEMPTS_PER_SECOND; 10], 0);
     for second in 10..40 {
         let begin = now + SECOND * second;
-        play(&edge, begin, &[FIRST_TRIES_A_SECOND], 0);
+        play(&edge, begin, &[FIRST_ATTEMPTS_PER_SECOND], 0);
         assert_eq!(play_requests(&edge, begin, 2, 6), (6, 0), "{second}");
     }
 }
--- a/crates/hemlocktack-decide/tests/edge_budgets.rs
+++ b/crates/hemlocktack-decide/tests/edge_budgets.rs
@@ -35,27 +35,31 @@
 
 /// Most retries of all nodes in any ten seconds, where each node makes one first
 /// try a second or fewer and every call wants all the retries that it can get.
-fn most_retries(allowed: FleetRetryLimits, nodes: usize, seconds_between_tries: u64) -> (u32, u32) {
+fn most_retries(
+    allowed: FleetRetryLimits,
+    nodes: usize,
+    seconds_between_attempts: u64,
+) -> (u32, u32) {
     const SECONDS: u64 = 40;
     let now = Instant::now();
     let mut budgets = budgets_of_fleet(allowed, nodes);
     let mut retries = vec![0; SECONDS as usize];
-    let mut first_tries = 0;
+    let mut first_attempts = 0;
     for second in 0..SECONDS {
         let at = now + SECOND * second as u32;
         for (number, budgets) in budgets.iter_mut().enumerate() {
-            if !(second + number as u64).is_multiple_of(seconds_between_tries) {
+            if !(second + number as u64).is_multiple_of(seconds_between_attempts) {
                 continue;
             }
             let edge = budgets.edge(&service(), at);
             edge.record_first_attempt(at);
-            first_tries += 1;
+            first_attempts += 1;
             retries[second as usize] += take_all(&edge, at);
         }
     }
     let windows = retries.windows(WINDOW_S as usize);
     let most = windows.map(|window| window.iter().sum()).max().unwrap_or(0);
-    (most, first_tries * WINDOW_S as u32 / SECONDS as u32)
+    (most, first_attempts * WINDOW_S as u32 / SECONDS as u32)
 }
 
 /// All answers of a quiet service are lost. Each of many nodes has a few calls to it,
@@ -69,9 +73,9 @@
             share_per_mille: 200,
             min_retries,
         };
-        for seconds_between_tries in [1, 3, 10] {
-            let (most, first_tries) = most_retries(allowed, nodes, seconds_between_tries);
-            let bound = first_tries * allowed.share_per_mille / 1_000 + min_retries;
+        for seconds_between_attempts in [1, 3, 10] {
+            let (most, first_attempts) = most_retries(allowed, nodes, seconds_between_attempts);
+            let bound = first_attempts * allowed.share_per_mille / 1_000 + min_retries;
             assert!(most <= bound, "{nodes} nodes: {most} of {bound}");
             assert!(most > 0, "{nodes} nodes make no retry at all");
         }
--- a/crates/hemlocktack-decide/tests/moves.rs
+++ b/crates/hemlocktack-decide/tests/moves.rs
@@ -1,17 +1,17 @@
 //! Calls that were not run where they were sent first.
 
-use hemlocktack_decide::Moves;
+use hemlocktack_decide::MoveCounter;
 use hemlocktack_protocol::{Reason, Refusal};
 
 fn moves(reasons: &[Reason]) -> Vec<bool> {
-    let mut moves = Moves::default();
+    let mut moves = MoveCounter::default();
     let refused = |reason: &Reason| Refusal {
         reason: *reason,
         retry_after: None,
     };
     reasons
         .iter()
-        .map(|reason| moves.take(&refused(reason)))
+        .map(|reason| moves.try_move(&refused(reason)))
         .collect()
 }
 
--- a/crates/hemlocktack-decide/tests/operators_limits.rs
+++ b/crates/hemlocktack-decide/tests/operators_limits.rs
@@ -50,7 +50,7 @@
 fn a_share_of_nothing_earns_no_more_retries() {
     let now = Instant::now();
     let policy = RetryPolicy {
-        least_retries: 1,
+        min_retries: 1,
         ..RetryPolicy::default()
     };
     let edge = EdgeRetryBudget::new(policy, now);
--- a/crates/hemlocktack-decide/tests/placement.rs
+++ b/crates/hemlocktack-decide/tests/placement.rs
@@ -20,8 +20,8 @@
 
 /// Peers that have just answered with so many calls in flight.
 fn peers(loads: &[(bool, u32)], now: Instant) -> Vec<Arc<PeerLoad>> {
-    let peer = |&(is_near, in_flight): &(bool, u32)| {
-        let peer = PeerLoad::new(is_near, UpstreamState::Ready, now);
+    let peer = |&(is_local, in_flight): &(bool, u32)| {
+        let peer = PeerLoad::new(is_local, UpstreamState::Ready, now);
         peer.sent(now);
         peer.answered(&hint(in_flight), now);
         Arc::new(peer)
--- a/crates/hemlocktack-decide/tests/quarantine.rs
+++ b/crates/hemlocktack-decide/tests/quarantine.rs
@@ -136,7 +136,7 @@
     assert_eq!(quarantine.status(1, now), QuarantineStatus::Quarantined);
     assert_eq!(quarantine.status(2, now), QuarantineStatus::Suspected);
     assert_eq!(quarantine.status(3, now), QuarantineStatus::Clear);
-    now += policy.refused_for;
+    now += policy.quarantined_for;
     assert_eq!(quarantine.status(1, now), QuarantineStatus::Suspected);
     quarantine.finished(1);
     assert_eq!(quarantine.status(1, now), QuarantineStatus::Clear);
--- a/crates/hemlocktack-decide/tests/sends.rs
+++ b/crates/hemlocktack-decide/tests/sends.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 
 const LOST: CallFailure = CallFailure::Unknown(Reason::UpstreamFailed);
-const TURNED_AWAY: CallFailure = not_run(Reason::UpstreamShed);
+const REJECTED: CallFailure = not_run(Reason::UpstreamShed);
 const FULL: CallFailure = not_run(Reason::QueueFull);
 
 const fn not_run(reason: Reason) -> CallFailure {
@@ -21,8 +21,8 @@
 }
 
 /// Sends a call to node after node, as long as another send follows.
-fn steps(upstreams_most: usize, ends: &[CallFailure]) -> Vec<NextStep> {
-    let mut sends = CallSends::new(upstreams_most);
+fn steps(max_upstreams: usize, ends: &[CallFailure]) -> Vec<NextStep> {
+    let mut sends = CallSends::new(max_upstreams);
     let mut steps = Vec::new();
     for (node, end) in ends.iter().enumerate() {
         let step = step(&mut sends, node, end);
@@ -61,7 +61,7 @@
     );
     // What an upstream turns away has not run there.
     assert_eq!(
-        steps(2, &[TURNED_AWAY, LOST, LOST]),
+        steps(2, &[REJECTED, LOST, LOST]),
         [Retried, Retried, UpstreamsUsedUp]
     );
 }
@@ -99,8 +99,8 @@
 #[test]
 fn only_upstreams_that_turned_it_away_may_get_it_again() {
     let mut sends = CallSends::new(2);
-    sends.send_ended(0, &TURNED_AWAY);
-    sends.send_ended(1, &TURNED_AWAY);
+    sends.send_ended(0, &REJECTED);
+    sends.send_ended(1, &REJECTED);
     let may_send_to: Vec<usize> = (0..4).filter(|node| sends.may_send_to(*node)).collect();
     assert_eq!(may_send_to, [0]);
     assert_eq!(sends.resend_target(), Some(1));
@@ -113,10 +113,10 @@
     /// no more upstreams than its route allows, and runs no oftener than that.
     #[test]
     fn no_call_runs_on_more_upstreams_than_allowed(
-        upstreams_most in 1usize..4,
+        max_upstreams in 1usize..4,
         draws in prop::collection::vec((0usize..6, 0usize..3), 1..40),
     ) {
-        let mut sends = CallSends::new(upstreams_most);
+        let mut sends = CallSends::new(max_upstreams);
         let mut handed_to = Vec::new();
         let mut runs = 0;
         for (first, end) in draws {
@@ -126,13 +126,13 @@
                 break;
             };
             drop(allowed);
-            let end = [LOST, TURNED_AWAY, FULL][end];
+            let end = [LOST, REJECTED, FULL][end];
             if end != FULL && !handed_to.contains(&node) {
                 handed_to.push(node);
             }
             runs += usize::from(end == LOST);
-            prop_assert!(handed_to.len() <= upstreams_most);
-            prop_assert!(runs <= upstreams_most);
+            prop_assert!(handed_to.len() <= max_upstreams);
+            prop_assert!(runs <= max_upstreams);
             if !step(&mut sends, node, &end).sends_again() {
                 break;
             }
