--- a/crates/hemlocktack-fleet/src/calls/arrivals.rs
+++ b/crates/hemlocktack-fleet/src/calls/arrivals.rs
@@ -1,4 +1,4 @@
-//! Receiver side: which calls of which sender have arrived.
+//! Receiver side: deduplication and resolution of calls, by sender.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -8,26 +8,26 @@
 use crate::peer::NodeIncarnation;
 use crate::tickets::KeptAnswers;
 
-/// Bounds of the memory of arrivals.
+/// Limits on the memory of [`Arrivals`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ArrivalLimits {
-    /// Settled calls remembered for each sender.
+    /// Number of settled calls that are remembered for each sender.
     pub settled_per_sender: usize,
-    /// Sender incarnations whose calls are remembered one by one.
+    /// Number of sender incarnations whose calls are remembered individually.
     pub senders: usize,
-    /// Further ones of which only the highest call id is remembered.
+    /// Number of further sender incarnations of which only the low-water mark is remembered.
     pub forgotten_senders: usize,
-    /// Encoded bytes of answers kept for senders that lost a link.
+    /// Budget in encoded bytes for answers kept for senders that lost a link.
     pub kept_answer_bytes: usize,
 }
 
 impl Default for ArrivalLimits {
-    /// A frame that is overtaken by the end of 256 later calls of its sender
-    /// is on a link not worth waiting for. 1,024 senders are almost twice the
-    /// largest fleet; 16,384 forgotten ones are more than a year of thirty
-    /// restarts a day. A sender
-    /// asks for an answer within a second of losing the link: a megabyte holds
-    /// those of some seconds, at 375 calls a second of 1 KB.
+    /// - `settled_per_sender`: a frame that is overtaken by the end of 256 later calls of its
+    ///   sender is on a link that is too slow to wait for.
+    /// - `senders`: almost twice the number of nodes of the largest fleet.
+    /// - `forgotten_senders`: more than a year of thirty restarts a day.
+    /// - `kept_answer_bytes`: a sender asks for an answer within a second of losing the link, and
+    ///   1 MiB holds the answers of several seconds at 375 calls per second of 1 KB.
     fn default() -> ArrivalLimits {
         ArrivalLimits {
             settled_per_sender: 256,
@@ -38,31 +38,31 @@
     }
 }
 
-/// What to do with a `Call` frame.
+/// Decision on a `Call` frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Arrival {
-    /// Treat it.
+    /// The call is new: process it.
     New,
-    /// Drop it without an answer: it is running or settled already, or its
-    /// sender was told that it never arrived.
+    /// Drop the frame without an answer: the call is already running or settled, or its sender was
+    /// told that it never arrived.
     Dropped,
 }
 
-/// Answer to a `ResolveCall` frame.
+/// Reply to a `ResolveCall` frame.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Resolution {
-    /// Fenced now: a late frame of it will be dropped.
+    /// The call never arrived and is now fenced: a late frame will be dropped.
     NeverArrived,
-    /// Its answer will go over the sender's newest link.
+    /// The call is running; its answer will be sent over the sender's newest link.
     Running,
-    /// Here is the answer.
+    /// The call has finished with this answer.
     Finished(Arc<Answer>),
-    /// It arrived, or may have: nothing more is known.
+    /// The call arrived or may have arrived; nothing more is known.
     Forgotten,
 }
 
 impl Resolution {
-    /// As it goes into a `CallResolution` frame.
+    /// Returns the value for a `CallResolution` frame.
     pub fn progress(&self) -> CallProgress {
         match self {
             Resolution::NeverArrived => CallProgress::NeverArrived,
@@ -73,15 +73,15 @@
     }
 }
 
-/// Frames that were dropped, for metrics.
+/// Numbers of dropped `Call` frames, for metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ArrivalCounts {
-    /// Calls that were running or settled already.
+    /// Calls that were already running or settled.
     pub duplicates: u64,
-    /// Calls that came after they had been fenced.
+    /// Calls that arrived after they had been fenced.
     pub fenced: u64,
-    /// Calls below the mark under which nothing is known for sure.
-    pub below_mark: u64,
+    /// Calls below the low-water mark, which may have run before.
+    pub below_low_water_mark: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -94,29 +94,29 @@
 #[derive(Clone, Debug)]
 struct Sender {
     progress: HashMap<CallId, Progress>,
-    // In the order in which they were settled.
+    // In the order in which the calls were settled.
     settled: VecDeque<CallId>,
-    // An id below it that is not in `progress` may have been settled and
-    // forgotten. `None`: nothing has arrived yet from a sender that may have
-    // been forgotten as a whole, so that every id is in doubt.
-    mark: Option<CallId>,
+    // A call below the mark that is not in `progress` may have been settled and forgotten. `None`
+    // until the first call arrives from a sender that may itself have been forgotten: any of its
+    // calls may have run before.
+    low_water_mark: Option<CallId>,
 }
 
 impl Sender {
-    fn doubtful() -> Sender {
+    fn with_unknown_history() -> Sender {
         Sender {
             progress: HashMap::new(),
             settled: VecDeque::new(),
-            mark: None,
+            low_water_mark: None,
         }
     }
 }
 
-/// Calls of every sender, within bounds, and never a wrong "never arrived".
+/// Calls of all senders, in bounded memory, without ever wrongly reporting "never arrived".
 ///
-/// What is forgotten raises a mark below which every id counts as forgotten.
-/// The sender then tells its caller `unknown`, which costs an answer; a wrong
-/// "never arrived" would cost a second run.
+/// Forgetting a call raises its sender's low-water mark, and every unknown call below the mark
+/// counts as forgotten. The sender then reports `unknown` to its caller, which loses an answer; a
+/// wrong "never arrived" would let the call run a second time.
 #[derive(Clone, Debug)]
 pub struct Arrivals {
     limits: ArrivalLimits,
@@ -124,13 +124,13 @@
     oldest_sender_first: VecDeque<NodeIncarnation>,
     forgotten: HashMap<NodeIncarnation, CallId>,
     oldest_forgotten_first: VecDeque<NodeIncarnation>,
-    mark_lost: bool,
+    low_water_mark_lost: bool,
     answers: KeptAnswers<(NodeIncarnation, CallId)>,
     counts: ArrivalCounts,
 }
 
 impl Arrivals {
-    /// For one start of a node.
+    /// Creates the state for one incarnation of a node.
     pub fn new(limits: ArrivalLimits) -> Arrivals {
         Arrivals {
             limits,
@@ -138,31 +138,31 @@
             oldest_sender_first: VecDeque::new(),
             forgotten: HashMap::new(),
             oldest_forgotten_first: VecDeque::new(),
-            mark_lost: false,
+            low_water_mark_lost: false,
             answers: KeptAnswers::new(limits.kept_answer_bytes),
             counts: ArrivalCounts::default(),
         }
     }
 
-    /// Notes a `Call` frame.
+    /// Records a `Call` frame and decides whether to process it.
     pub fn record_arrival(&mut self, from: &NodeIncarnation, call_id: CallId) -> Arrival {
         let sender = self.sender_mut(from);
-        let mark = *sender.mark.get_or_insert(call_id);
+        let low_water_mark = *sender.low_water_mark.get_or_insert(call_id);
         let known = sender.progress.get(&call_id).copied();
-        if known.is_none() && call_id >= mark {
+        if known.is_none() && call_id >= low_water_mark {
             sender.progress.insert(call_id, Progress::Running);
             return Arrival::New;
         }
         match known {
             Some(Progress::Fenced) => self.counts.fenced += 1,
             Some(_) => self.counts.duplicates += 1,
-            None => self.counts.below_mark += 1,
+            None => self.counts.below_low_water_mark += 1,
         }
         Arrival::Dropped
     }
 
-    /// Notes the end of a call that was treated. Give the answer only where a
-    /// re-send would not find it elsewhere.
+    /// Records the end of a call. The answer is only needed if a re-send cannot find it anywhere
+    /// else.
     pub fn finish(&mut self, from: &NodeIncarnation, call_id: CallId, answer: Option<Arc<Answer>>) {
         let Some(sender) = self.senders.get_mut(from) else {
             return;
@@ -180,7 +180,7 @@
         self.settle(from, call_id);
     }
 
-    /// Tells a sender what became of a call, and fences it if it never arrived.
+    /// Returns the state of a call to its sender, and fences the call if it never arrived.
     pub fn resolve(&mut self, from: &NodeIncarnation, call_id: CallId) -> Resolution {
         let sender = self.sender_mut(from);
         match sender.progress.get(&call_id) {
@@ -192,23 +192,25 @@
             }
             None => {}
         }
-        if sender.mark.is_none_or(|mark| call_id < mark) {
+        if sender
+            .low_water_mark
+            .is_none_or(|low_water_mark| call_id < low_water_mark)
+        {
             return Resolution::Forgotten;
         }
-        // Fenced before the sender hears of it: a frame that is still in a
-        // buffer of the lost link would otherwise run a call that its caller
-        // has been told was not run.
+        // Fenced before the reply is sent: a frame that is still in a buffer of the lost link would
+        // otherwise run the call after its caller was told `not_run`.
         sender.progress.insert(call_id, Progress::Fenced);
         self.settle(from, call_id);
         Resolution::NeverArrived
     }
 
-    /// Frames dropped so far.
+    /// Returns the numbers of frames dropped so far.
     pub fn counts(&self) -> ArrivalCounts {
         self.counts
     }
 
-    /// Calls remembered, of all senders.
+    /// Returns the number of remembered calls of all senders.
     pub fn record_count(&self) -> usize {
         self.senders
             .values()
@@ -216,7 +218,7 @@
             .sum()
     }
 
-    /// Panics where the record contradicts itself; for tests and randomised runs.
+    /// Panics if the state is inconsistent; for tests and randomised runs.
     pub fn assert_consistent(&self) {
         assert!(self.senders.len() <= self.limits.senders.max(1), "senders");
         assert_eq!(
@@ -252,14 +254,14 @@
             return;
         };
         sender.settled.push_back(call_id);
-        // By the order of settling: the answer of a call that took long may just be
-        // under way.
+        // Forgets calls in the order in which they were settled, not by id: the answer to a
+        // long-running call may still be in transit.
         while sender.settled.len() > self.limits.settled_per_sender {
             let Some(forgotten) = sender.settled.pop_front() else {
                 return;
             };
             sender.progress.remove(&forgotten);
-            sender.mark = sender.mark.max(Some(forgotten.saturating_add(1)));
+            sender.low_water_mark = sender.low_water_mark.max(Some(forgotten.saturating_add(1)));
             self.answers.remove(&(from.clone(), forgotten));
         }
     }
@@ -270,20 +272,20 @@
         }
         self.senders
             .entry(from.clone())
-            .or_insert_with(Sender::doubtful)
+            .or_insert_with(Sender::with_unknown_history)
     }
 
     fn add_sender(&mut self, from: &NodeIncarnation) {
-        // Once any mark was lost, a new sender may be that one come back.
-        let first_mark = (!self.mark_lost).then_some(0);
-        let mark = self.forgotten.remove(from).or(first_mark);
+        // Once any low-water mark has been dropped, a sender that seems new may be one of those.
+        let first_mark = (!self.low_water_mark_lost).then_some(0);
+        let low_water_mark = self.forgotten.remove(from).or(first_mark);
         self.forget_sender_above_limit();
         self.oldest_sender_first.push_back(from.clone());
         self.senders.insert(
             from.clone(),
             Sender {
-                mark,
-                ..Sender::doubtful()
+                low_water_mark,
+                ..Sender::with_unknown_history()
             },
         );
     }
@@ -306,8 +308,8 @@
             .keys()
             .max()
             .map(|call_id| call_id.saturating_add(1));
-        if let Some(mark) = sender.mark.max(above_highest) {
-            self.forgotten.insert(oldest.clone(), mark);
+        if let Some(low_water_mark) = sender.low_water_mark.max(above_highest) {
+            self.forgotten.insert(oldest.clone(), low_water_mark);
             self.oldest_forgotten_first.push_back(oldest);
         }
         self.drop_marks_above_limit();
@@ -319,10 +321,10 @@
                 return;
             };
             if self.forgotten.remove(&oldest).is_some() {
-                self.mark_lost = true;
+                self.low_water_mark_lost = true;
             }
         }
-        // Names of senders that came back stay in the queue; trimmed here.
+        // Senders that returned stay in the queue; removes them when they outnumber the others.
         if self.oldest_forgotten_first.len() > 2 * self.forgotten.len() + 64 {
             let forgotten = &self.forgotten;
             self.oldest_forgotten_first
--- a/crates/hemlocktack-fleet/src/calls/mod.rs
+++ b/crates/hemlocktack-fleet/src/calls/mod.rs
@@ -1,18 +1,18 @@
-//! Calls over links that can be lost: what became of a call whose link went.
+//! Resolution of calls whose link was lost.
 //!
-//! How a node drives this module:
+//! A node uses this module as follows:
 //!
-//! - Receiver: each `Call` frame goes through [`Arrivals::record_arrival`]; only
-//!   [`Arrival::New`] is run. Each end goes through [`Arrivals::finish`], each
-//!   `ResolveCall` frame through [`Arrivals::resolve`].
-//! - Sender: `links/outgoing.rs` of the node keeps these rules with code of its
-//!   own, a task for each call; [`PendingCalls`] states them for the randomised runs:
-//!   one per peer incarnation. [`PendingCalls::insert`] before the
-//!   frame is queued, [`PendingCalls::mark_sent`] before its first byte is written,
-//!   [`PendingCalls::answered`] with each `Answer` frame. Link lost:
-//!   [`PendingCalls::link_lost`], then, over a new link, a `ResolveCall` frame for
-//!   each of [`PendingCalls::unresolved`] and [`PendingCalls::resolved`] with what comes
-//!   back; another incarnation at the other end: [`PendingCalls::peer_gone`].
+//! - Receiver: each `Call` frame is passed to [`Arrivals::record_arrival`], and only
+//!   [`Arrival::New`] calls run. The end of each call is passed to [`Arrivals::finish`], and each
+//!   `ResolveCall` frame to [`Arrivals::resolve`].
+//! - Sender: the node implements the same rules in `links/outgoing.rs`, with one task per call.
+//!   [`PendingCalls`] is the model of these rules for the randomised runs, with one instance per
+//!   peer incarnation. [`PendingCalls::insert`] is called before the frame is queued,
+//!   [`PendingCalls::mark_sent`] before its first byte is written, and [`PendingCalls::answered`]
+//!   with each `Answer` frame. When the link is lost, [`PendingCalls::link_lost`] is called; then a
+//!   `ResolveCall` frame is sent over a new link for each of [`PendingCalls::unresolved`], and its
+//!   reply is passed to [`PendingCalls::resolved`]. If the peer has another incarnation,
+//!   [`PendingCalls::peer_gone`] is called instead.
 
 mod arrivals;
 mod pending_calls;
--- a/crates/hemlocktack-fleet/src/calls/pending_calls.rs
+++ b/crates/hemlocktack-fleet/src/calls/pending_calls.rs
@@ -1,4 +1,4 @@
-//! Sender side: calls to one incarnation of one peer that wait for their end.
+//! Sender side: calls to one incarnation of a peer that wait for an answer.
 
 use std::collections::HashMap;
 
@@ -8,11 +8,11 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Progress {
-    // In this node's own queue for the link.
+    // In this node's send queue of the link.
     Queued,
-    // A byte of it may have left.
+    // At least one byte may have been sent.
     Sent,
-    // Sent over a link that was lost.
+    // Sent over a link that has since been lost.
     InDoubt,
 }
 
@@ -22,33 +22,32 @@
     waiter: Waiter,
 }
 
-/// What a lost link means for the calls on it.
+/// Effect of a lost link on its calls.
 #[derive(Debug, PartialEq, Eq)]
 pub struct LinkLoss<Waiter> {
-    /// No byte of these left: not run, they may be placed elsewhere.
+    /// Calls of which no byte was sent: they did not run and may be sent to another node.
     pub not_sent: Vec<Waiter>,
-    /// To be asked about over a new link to the same incarnation.
+    /// Calls to resolve over a new link to the same incarnation.
     pub in_doubt: Vec<CallId>,
 }
 
-/// What a `CallResolution` frame means for its call.
+/// Effect of a `CallResolution` frame on its call.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Resolved<Waiter> {
-    /// Fenced at the peer: not run, it may be placed elsewhere.
+    /// The call is fenced at the peer: it did not run and may be sent to another node.
     NotRun(Waiter),
-    /// The peer has no answer any more.
+    /// The peer no longer has the answer.
     Unknown(Waiter),
-    /// Running at the peer: the answer will come.
+    /// The call is running at the peer, which will send the answer.
     Waiting,
-    /// Settled already, or not in doubt: drop the frame.
+    /// The call is already settled or not in doubt; the frame is dropped.
     Ignored,
 }
 
-/// Calls that wait for an answer of one peer incarnation.
+/// Calls that wait for an answer from one peer incarnation.
 ///
-/// Each waiter is handed out exactly once. The answers of another peer or
-/// another incarnation never come here: each has its own `PendingCalls`, so that a
-/// caller can't get an answer to a call with the same number elsewhere.
+/// Each waiter is returned exactly once. Each peer incarnation has its own `PendingCalls`, so a
+/// caller cannot get the answer to a call with the same id at another peer or incarnation.
 #[derive(Clone, Debug)]
 pub struct PendingCalls<Waiter> {
     peer: NodeIncarnation,
@@ -57,7 +56,7 @@
 }
 
 impl<Waiter> PendingCalls<Waiter> {
-    /// For the incarnation that the link's handshake proved.
+    /// Creates the state for the incarnation that was authenticated by the link's handshake.
     pub fn new(peer: NodeIncarnation) -> PendingCalls<Waiter> {
         PendingCalls {
             peer,
@@ -66,23 +65,23 @@
         }
     }
 
-    /// The peer incarnation that the calls go to.
+    /// Returns the peer incarnation that the calls are sent to.
     pub fn peer(&self) -> &NodeIncarnation {
         &self.peer
     }
 
-    /// Calls that wait.
+    /// Returns the number of calls that wait for an answer.
     pub fn waiting_count(&self) -> usize {
         self.sends.len()
     }
 
-    /// Answers that came for no waiting call: late or duplicate ones.
+    /// Returns the number of late or duplicate answers, for which no call was waiting.
     pub fn dropped_answers(&self) -> u64 {
         self.dropped_answers
     }
 
-    /// Notes a call before its frame is queued. The id comes from the node's
-    /// one counter and is never used again.
+    /// Adds a call before its frame is queued. Ids come from the node's single counter and are
+    /// never reused.
     pub fn insert(&mut self, call_id: CallId, waiter: Waiter) {
         let earlier = self.sends.insert(
             call_id,
@@ -94,8 +93,8 @@
         debug_assert!(earlier.is_none(), "a call id was used twice");
     }
 
-    /// Notes that the frame's first byte is about to be written. `false`: the
-    /// call has been settled meanwhile and must not be written.
+    /// Records that the frame's first byte is about to be written. Returns `false` if the call has
+    /// been settled in the meantime and its frame must not be written.
     pub fn mark_sent(&mut self, call_id: CallId) -> bool {
         let Some(send) = self.sends.get_mut(&call_id) else {
             return false;
@@ -104,7 +103,7 @@
         true
     }
 
-    /// Settles a call with its `Answer` frame; `None`: drop the frame.
+    /// Settles a call with its `Answer` frame; `None` if no call waits for the frame.
     pub fn answered(&mut self, call_id: CallId) -> Option<Waiter> {
         let waiter = self.settle(call_id);
         if waiter.is_none() {
@@ -113,13 +112,13 @@
         waiter
     }
 
-    /// Settles a call that its sender no longer waits for. What the peer made
-    /// of it is unknown unless it was never sent.
+    /// Settles a call that its sender no longer waits for. Its outcome is unknown unless it was
+    /// never sent.
     pub fn abandon(&mut self, call_id: CallId) -> Option<Waiter> {
         self.settle(call_id)
     }
 
-    /// Notes the loss of the link.
+    /// Records that the link was lost.
     pub fn link_lost(&mut self) -> LinkLoss<Waiter> {
         let is_queued = |_: &CallId, send: &mut Send<Waiter>| send.progress == Progress::Queued;
         let mut not_sent: Vec<_> = self.sends.extract_if(is_queued).collect();
@@ -133,7 +132,7 @@
         }
     }
 
-    /// Calls to ask about over a new link to the same incarnation, oldest first.
+    /// Returns the calls to resolve over a new link to the same incarnation, oldest first.
     pub fn unresolved(&self) -> Vec<CallId> {
         let in_doubt = self
             .sends
@@ -144,7 +143,7 @@
         call_ids
     }
 
-    /// Takes in a `CallResolution` frame.
+    /// Processes a `CallResolution` frame.
     pub fn resolved(&mut self, call_id: CallId, progress: CallProgress) -> Resolved<Waiter> {
         let Some(send) = self.sends.get_mut(&call_id) else {
             return Resolved::Ignored;
@@ -160,15 +159,15 @@
             CallProgress::NeverArrived => self
                 .settle(call_id)
                 .map_or(Resolved::Ignored, Resolved::NotRun),
-            // The answer goes before a FINISHED: still waiting here, it got lost.
+            // The peer sends the answer before FINISHED, so a call that still waits has lost it.
             CallProgress::Finished | CallProgress::Forgotten | CallProgress::Unspecified => self
                 .settle(call_id)
                 .map_or(Resolved::Ignored, Resolved::Unknown),
         }
     }
 
-    /// Another incarnation answers under the peer's name, or none ever will:
-    /// whoever still waits may have been run.
+    /// Returns all remaining waiters when the peer has another incarnation or is gone for good.
+    /// Their calls may have run.
     pub fn peer_gone(&mut self) -> Vec<Waiter> {
         let mut sends: Vec<_> = self.sends.drain().collect();
         sends.sort_unstable_by_key(|(call_id, _)| *call_id);
--- a/crates/hemlocktack-fleet/src/configuration/from_platform.rs
+++ b/crates/hemlocktack-fleet/src/configuration/from_platform.rs
@@ -1,4 +1,4 @@
-//! What the platform answers, and when it is asked again.
+//! Answers of the platform, and the delay before the next call.
 
 use std::time::{Duration, Instant};
 
@@ -8,13 +8,13 @@
 use super::settings::ConfigurationSafeguard;
 use super::state::{ConfigurationAction, ConfigurationState, PeerView};
 
-/// Longest pause before a watch that follows a refused one: a change is still
-/// in force within seconds.
-const REWATCH_PAUSE: Duration = Duration::from_secs(2);
+/// Maximum delay before the next watch after the platform refused one. Short enough that a change
+/// still becomes active within seconds.
+const MAX_REWATCH_DELAY: Duration = Duration::from_secs(2);
 
 impl ConfigurationState {
-    /// The platform answered: with a document, or with nothing above what is
-    /// in force.
+    /// Handles an answer of the platform: a document, or `None` if nothing is newer than the active
+    /// generation.
     pub fn platform_answered(
         &mut self,
         now: Instant,
@@ -24,10 +24,10 @@
     ) -> Vec<ConfigurationAction> {
         let mut actions = Vec::new();
         if let Some(document) = document {
-            self.take(document, &mut actions);
+            self.apply_if_newer(document, &mut actions);
         }
-        let pause = self.pause_after_answer(view, rng);
-        self.platform.succeed(now, pause);
+        let delay = self.delay_after_answer(view, rng);
+        self.platform.record_success(now, delay);
         self.is_revision_gone = false;
         if self.current.is_some() && !self.is_behind() {
             self.catch_up(&mut actions);
@@ -35,23 +35,23 @@
         actions
     }
 
-    /// The platform no longer knows the revision that was watched from: a read
-    /// follows at once, and a pause before the next watch.
+    /// Handles that the platform no longer knows the revision that the watch started from. A read
+    /// follows at once, and a delay before the next watch.
     pub fn revision_gone(&mut self, now: Instant) {
-        self.platform.succeed(now, Duration::ZERO);
+        self.platform.record_success(now, Duration::ZERO);
         self.is_revision_gone = true;
     }
 
-    /// The platform refused, was out, or its answer was lost.
+    /// Handles a failed platform call: refused, unavailable, or its answer lost.
     pub fn platform_failed(&mut self, now: Instant, rng: &mut impl Rng) {
-        self.platform.fail(now, &self.settings, rng);
-        let keeps = self.settings.keeps(ConfigurationSafeguard::FailStatic);
-        if !keeps {
+        self.platform.record_failure(now, &self.settings, rng);
+        let keeps_configuration = self.settings.is_enabled(ConfigurationSafeguard::FailStatic);
+        if !keeps_configuration {
             self.caught_up = false;
         }
     }
 
-    pub(super) fn ask_platform(
+    pub(super) fn read_platform(
         &mut self,
         now: Instant,
         view: &PeerView,
@@ -59,7 +59,7 @@
     ) {
         let watches = self.watches(view);
         if watches && !self.was_watcher {
-            self.platform.hurry(now);
+            self.platform.schedule_now(now);
         }
         self.was_watcher = watches;
         if !self.platform.is_due(now) {
@@ -70,24 +70,26 @@
             true => self.settings.watch_timeout,
             false => self.settings.read_timeout,
         };
-        self.platform.begin(now, timeout);
+        self.platform.record_start(now, timeout);
         let above = self.generation();
         actions.push(ConfigurationAction::ReadPlatform { above, wait });
     }
 
     fn watches(&self, view: &PeerView) -> bool {
-        view.is_watcher && self.settings.keeps(ConfigurationSafeguard::Watchers)
+        view.is_watcher && self.settings.is_enabled(ConfigurationSafeguard::Watchers)
     }
 
-    /// A watcher asks again at once; a starting fleet without any document
-    /// asks soon; all others seldom, at times drawn apart. A node that cannot
-    /// read the document hears of a newer one from peers as well, and a whole
-    /// fleet of an older version must not use up the platform's rates.
-    fn pause_after_answer(&self, view: &PeerView, rng: &mut impl Rng) -> Duration {
+    /// Returns the delay before the next platform call after an answer.
+    ///
+    /// A watcher calls again at once. A starting node calls again soon as long as there is no
+    /// document at all. All others poll seldom, at randomised times. A node that cannot read the
+    /// newest document polls slowly as well: it also learns of a newer one from its peers, and a
+    /// whole fleet of an older version must not use up the platform's rate limit.
+    fn delay_after_answer(&self, view: &PeerView, rng: &mut impl Rng) -> Duration {
         if self.is_revision_gone {
-            // Where the store forgets faster than a watch follows, reads and
-            // refused watches without a pause would use up the node's budget.
-            return REWATCH_PAUSE.mul_f64(rng.random_range(0.5..1.0));
+            // If the store discards revisions faster than watches follow, reads and refused watches
+            // without a delay would use up the node's budget of platform calls.
+            return MAX_REWATCH_DELAY.mul_f64(rng.random_range(0.5..1.0));
         }
         if self.watches(view) && self.caught_up {
             return Duration::ZERO;
@@ -101,7 +103,7 @@
         if !self.caught_up {
             return self.settings.backoff_base;
         }
-        let backstop = self.settings.backstop_period;
-        backstop.mul_f64(rng.random_range(0.5..1.5))
+        let interval = self.settings.poll_interval;
+        interval.mul_f64(rng.random_range(0.5..1.5))
     }
 }
--- a/crates/hemlocktack-fleet/src/configuration/mod.rs
+++ b/crates/hemlocktack-fleet/src/configuration/mod.rs
@@ -1,4 +1,4 @@
-//! Which configuration is in force on a node, and how it learns of the next.
+//! The active configuration of a node, and how the node learns of a newer one.
 
 mod from_platform;
 mod peer_pulls;
--- a/crates/hemlocktack-fleet/src/configuration/peer_pulls.rs
+++ b/crates/hemlocktack-fleet/src/configuration/peer_pulls.rs
@@ -1,4 +1,4 @@
-//! What a node hears from its peers, and whom it asks next.
+//! Generations announced by peers, and pulls of documents from peers.
 
 use std::time::{Duration, Instant};
 
@@ -9,8 +9,8 @@
 use super::settings::ConfigurationSafeguard;
 use super::state::{ConfigurationAction, ConfigurationState, PeerView};
 
-/// Peers with a higher generation that are remembered.
-const HEARD_LIMIT: usize = 8;
+/// Maximum number of peers with a higher generation that are remembered.
+const NEWER_PEERS_LIMIT: usize = 8;
 
 pub(super) struct Pull {
     node_id: String,
@@ -18,47 +18,50 @@
 }
 
 impl ConfigurationState {
-    /// A peer says that it has a higher generation in force.
+    /// Handles the announcement of a peer's active generation.
     pub fn peer_announced(&mut self, node_id: &str, generation: Generation) {
         if generation <= self.newest_seen() {
             return;
         }
-        self.heard.insert(node_id.to_owned(), generation);
-        if self.heard.len() > HEARD_LIMIT {
-            let lowest = self.heard.iter().min_by_key(|(_, heard)| **heard);
+        self.newer_at_peers.insert(node_id.to_owned(), generation);
+        if self.newer_at_peers.len() > NEWER_PEERS_LIMIT {
+            let lowest = self
+                .newer_at_peers
+                .iter()
+                .min_by_key(|(_, announced)| **announced);
             let lowest = lowest.map(|(node_id, _)| node_id.clone());
-            self.heard
+            self.newer_at_peers
                 .retain(|node_id, _| Some(node_id) != lowest.as_ref());
         }
     }
 
-    /// A peer answered a pull; `None` where it has nothing above what is in
-    /// force here, or nothing at all (`in_force` 0).
+    /// Handles a peer's answer to a pull. `document` is `None` if the peer has nothing newer than
+    /// the requested generation, or nothing at all (`peer_generation` 0).
     pub fn peer_answered(
         &mut self,
         now: Instant,
         node_id: &str,
-        in_force: Generation,
+        peer_generation: Generation,
         document: Option<ConfigurationDocument>,
     ) -> Vec<ConfigurationAction> {
         let mut actions = Vec::new();
         self.end_pull(node_id, now);
-        self.heard.remove(node_id);
-        if in_force > 0 {
-            self.answered.insert(node_id.to_owned());
+        self.newer_at_peers.remove(node_id);
+        if peer_generation > 0 {
+            self.answered_peers.insert(node_id.to_owned());
         }
         if let Some(document) = document {
-            self.take(document, &mut actions);
+            self.apply_if_newer(document, &mut actions);
         }
         actions
     }
 
-    /// A peer did not answer a pull.
+    /// Handles a pull that the peer did not answer.
     pub fn peer_failed(&mut self, now: Instant, node_id: &str, rng: &mut impl Rng) {
-        const LONGEST_PAUSE: Duration = Duration::from_millis(200);
-        self.heard.remove(node_id);
-        let pause = LONGEST_PAUSE.mul_f64(rng.random_range(0.0..1.0));
-        self.end_pull(node_id, now + pause);
+        const MAX_DELAY: Duration = Duration::from_millis(200);
+        self.newer_at_peers.remove(node_id);
+        let delay = MAX_DELAY.mul_f64(rng.random_range(0.0..1.0));
+        self.end_pull(node_id, now + delay);
     }
 
     fn end_pull(&mut self, node_id: &str, next: Instant) {
@@ -72,25 +75,25 @@
         }
     }
 
-    pub(super) fn drop_overdue_pull(&mut self, now: Instant) {
+    pub(super) fn drop_timed_out_pull(&mut self, now: Instant) {
         let Some(pull) = &self.pull else {
             return;
         };
         if now.saturating_duration_since(pull.sent) >= self.settings.pull_timeout {
-            self.heard.remove(&pull.node_id);
+            self.newer_at_peers.remove(&pull.node_id);
             self.pull = None;
         }
     }
 
-    pub(super) fn ask_peer(
+    pub(super) fn pull_from_peer(
         &mut self,
         now: Instant,
         view: &PeerView,
         actions: &mut Vec<ConfigurationAction>,
         rng: &mut impl Rng,
     ) {
-        let keeps = self.settings.keeps(ConfigurationSafeguard::PeerPull);
-        if !keeps || self.pull.is_some() || now < self.next_pull {
+        let may_pull = self.settings.is_enabled(ConfigurationSafeguard::PeerPull);
+        if !may_pull || self.pull.is_some() || now < self.next_pull {
             return;
         }
         let Some(node_id) = self.next_peer(view, rng) else {
@@ -104,14 +107,18 @@
         actions.push(ConfigurationAction::Pull { node_id, above });
     }
 
-    /// Any peer with a higher generation; while starting without the platform,
-    /// any ready peer that has not answered yet.
+    /// Returns a random peer with a higher generation. While this node starts without the platform,
+    /// it returns any ready peer that has not answered yet.
     fn next_peer(&self, view: &PeerView, rng: &mut impl Rng) -> Option<String> {
-        let heard = self.heard.keys().choose(rng);
-        if heard.is_some() || self.caught_up || !self.platform.has_failed() {
-            return heard.cloned();
+        let newer_peer = self.newer_at_peers.keys().choose(rng);
+        if newer_peer.is_some() || self.caught_up || !self.platform.has_failed() {
+            return newer_peer.cloned();
         }
-        let unasked = |node_id: &&String| !self.answered.contains(*node_id);
-        view.ready.iter().filter(unasked).choose(rng).cloned()
+        let has_not_answered = |node_id: &&String| !self.answered_peers.contains(*node_id);
+        view.ready
+            .iter()
+            .filter(has_not_answered)
+            .choose(rng)
+            .cloned()
     }
 }
--- a/crates/hemlocktack-fleet/src/configuration/platform_calls.rs
+++ b/crates/hemlocktack-fleet/src/configuration/platform_calls.rs
@@ -1,4 +1,4 @@
-//! When the platform may be called.
+//! Scheduling of calls to the platform.
 
 use std::time::{Duration, Instant};
 
@@ -6,11 +6,12 @@
 
 use super::settings::ConfigurationSettings;
 
-/// One call at a time, and longer pauses while they fail.
+/// Schedules one platform call at a time, with exponential backoff while calls fail.
 ///
-/// After a long outage every node would call at once; pauses drawn at random
-/// up to a limit spread the fleet's return over that limit.
+/// The backoff is randomised up to a limit. Otherwise all nodes would call at the same moment after
+/// a long outage; the random delays spread their calls over the limit.
 pub(super) struct PlatformCalls {
+    /// Deadline of the outstanding call.
     outstanding: Option<Instant>,
     next: Instant,
     failures: u32,
@@ -33,38 +34,38 @@
         self.failures > 0
     }
 
-    pub(super) fn begin(&mut self, now: Instant, timeout: Duration) {
+    pub(super) fn record_start(&mut self, now: Instant, timeout: Duration) {
         self.outstanding = Some(now + timeout);
     }
 
-    pub(super) fn succeed(&mut self, now: Instant, pause: Duration) {
+    pub(super) fn record_success(&mut self, now: Instant, delay: Duration) {
         self.outstanding = None;
         self.failures = 0;
-        self.next = now + pause;
+        self.next = now + delay;
     }
 
-    pub(super) fn fail(
+    pub(super) fn record_failure(
         &mut self,
         now: Instant,
         settings: &ConfigurationSettings,
         rng: &mut impl Rng,
     ) {
-        const DOUBLINGS_LIMIT: u32 = 16;
-        let doublings = self.failures.min(DOUBLINGS_LIMIT);
-        let longest = settings.backoff_base * 2u32.pow(doublings);
-        let longest = longest.min(settings.backoff_limit);
+        const MAX_DOUBLINGS: u32 = 16;
+        let doublings = self.failures.min(MAX_DOUBLINGS);
+        let max_delay = settings.backoff_base * 2u32.pow(doublings);
+        let max_delay = max_delay.min(settings.backoff_limit);
         self.outstanding = None;
         self.failures = self.failures.saturating_add(1);
-        self.next = now + longest.mul_f64(rng.random_range(0.5..1.0));
+        self.next = now + max_delay.mul_f64(rng.random_range(0.5..1.0));
     }
 
-    /// Whether the outstanding call has run out of time.
-    pub(super) fn is_overdue(&self, now: Instant) -> bool {
+    /// Returns whether the outstanding call has timed out.
+    pub(super) fn has_timed_out(&self, now: Instant) -> bool {
         self.outstanding.is_some_and(|deadline| now >= deadline)
     }
 
-    /// Calls again at once, where nothing is outstanding and nothing failed.
-    pub(super) fn hurry(&mut self, now: Instant) {
+    /// Makes the next call due now, unless the previous call failed.
+    pub(super) fn schedule_now(&mut self, now: Instant) {
         if self.failures == 0 {
             self.next = self.next.min(now);
         }
--- a/crates/hemlocktack-fleet/src/configuration/settings.rs
+++ b/crates/hemlocktack-fleet/src/configuration/settings.rs
@@ -1,50 +1,50 @@
-//! Periods and bounds of configuration.
+//! Settings for the distribution of configuration.
 
 use std::time::Duration;
 
 use hemlocktack_protocol::ConfigurationDocument;
 use strum::{Display, EnumIter, EnumString};
 
-/// A rule that a mutation run switches off, to show that the run notices.
-/// A node never does.
+/// A safeguard that a mutation test disables, to show that the randomised runs detect its absence.
+/// A node never disables one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, EnumIter, EnumString)]
 #[strum(serialize_all = "kebab-case")]
 pub enum ConfigurationSafeguard {
-    /// Only a higher generation comes into force.
+    /// Only a higher generation becomes active.
     HigherOnly,
-    /// No calls before the configuration has caught up.
+    /// A node takes no calls before its configuration has caught up.
     CatchUp,
     /// A few nodes in each data centre watch the platform.
     Watchers,
-    /// A peer with a higher generation is asked for it.
+    /// A node pulls a higher generation from the peer that has it.
     PeerPull,
-    /// Without the platform a node goes on with what it has.
+    /// A node keeps its active configuration while the platform is unavailable.
     FailStatic,
 }
 
-/// Periods and bounds of configuration.
+/// Timeouts, intervals and limits for the distribution of configuration.
 #[derive(Clone, Debug)]
 pub struct ConfigurationSettings {
-    /// Nodes of each data centre that watch the platform.
+    /// Number of nodes in each data centre that watch the platform.
     pub watchers_per_data_centre: usize,
-    /// Peers that a starting node asks while the platform is out.
+    /// Number of peers that a starting node asks while the platform is unavailable.
     pub catch_up_peers: usize,
-    /// Wait for a peer's answer before the next one is asked.
+    /// Timeout of a pull from a peer, after which another peer is asked.
     pub pull_timeout: Duration,
-    /// Wait for the platform's answer to a read.
+    /// Timeout of a read from the platform.
     pub read_timeout: Duration,
-    /// Wait for the platform's answer to a watch, its own waiting included.
+    /// Timeout of a watch, including the time for which the platform holds it open.
     pub watch_timeout: Duration,
-    /// Pause after the first failed platform call; doubles with each more.
+    /// Delay after the first failed platform call; doubles with each further failure.
     pub backoff_base: Duration,
-    /// Longest pause after failed platform calls.
+    /// Maximum delay after failed platform calls.
     pub backoff_limit: Duration,
-    /// A node that does not watch reads the platform this seldom, lest some
-    /// news was lost.
-    pub backstop_period: Duration,
-    /// Whether this version of the node can bring a document into force.
+    /// Interval at which a node that does not watch reads from the platform, in case it missed a
+    /// change.
+    pub poll_interval: Duration,
+    /// Returns whether this version of the node can apply a document.
     pub can_read: fn(&ConfigurationDocument) -> bool,
-    /// Rule that a mutation run leaves out.
+    /// Safeguard that a mutation test disables.
     pub disabled_safeguard: Option<ConfigurationSafeguard>,
 }
 
@@ -58,7 +58,7 @@
             watch_timeout: Duration::from_secs(40),
             backoff_base: Duration::from_millis(500),
             backoff_limit: Duration::from_secs(30),
-            backstop_period: Duration::from_secs(5 * 60),
+            poll_interval: Duration::from_secs(5 * 60),
             can_read: |_| true,
             disabled_safeguard: None,
         }
@@ -66,7 +66,7 @@
 }
 
 impl ConfigurationSettings {
-    pub(crate) fn keeps(&self, safeguard: ConfigurationSafeguard) -> bool {
+    pub(crate) fn is_enabled(&self, safeguard: ConfigurationSafeguard) -> bool {
         self.disabled_safeguard != Some(safeguard)
     }
 }
--- a/crates/hemlocktack-fleet/src/configuration/state.rs
+++ b/crates/hemlocktack-fleet/src/configuration/state.rs
@@ -1,4 +1,4 @@
-//! The configuration that one node has in force.
+//! State machine for the active configuration of a node.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
@@ -10,79 +10,79 @@
 use super::platform_calls::PlatformCalls;
 use super::settings::{ConfigurationSafeguard, ConfigurationSettings};
 
-/// What the runtime has to do.
+/// Action for the runtime to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfigurationAction {
-    /// Read the stored document from the platform; answer with
+    /// Read the stored document from the platform; report the result with
     /// [`ConfigurationState::platform_answered`] or [`ConfigurationState::platform_failed`].
     ReadPlatform {
-        /// Only a generation above this one is news.
+        /// Only a higher generation than this one is of interest.
         above: Generation,
-        /// Let the platform hold the call until there is one (a watch).
+        /// Whether the platform shall hold the call open until there is one (a watch).
         wait: bool,
     },
-    /// Ask a peer over a link; answer with [`ConfigurationState::peer_answered`] or
-    /// [`ConfigurationState::peer_failed`].
+    /// Pull from a peer over a link; report the result with [`ConfigurationState::peer_answered`]
+    /// or [`ConfigurationState::peer_failed`].
     Pull {
-        /// Peer to ask.
+        /// Peer to pull from.
         node_id: String,
-        /// Generation in force here.
+        /// Highest generation that this node has seen.
         above: Generation,
     },
-    /// Bring a document into force and tell peers its generation.
+    /// Make a document the active configuration and announce its generation to peers.
     Install {
         /// The document, as stored.
         document: ConfigurationDocument,
     },
-    /// Tell the operators that this version cannot read a document.
+    /// Report to the operators that this version cannot read a document.
     ReportUnreadable {
-        /// Its generation.
+        /// Generation of the document.
         generation: Generation,
     },
-    /// This node may take calls now.
+    /// The configuration has caught up, so this node may take calls.
     CaughtUp,
 }
 
-/// What membership says at this moment.
+/// Current information from membership.
 #[derive(Clone, Debug, Default)]
 pub struct PeerView {
-    /// Live nodes that have a configuration in force.
+    /// Live nodes that have an active configuration.
     pub ready: Vec<String>,
-    /// Whether this node is to watch the platform.
+    /// Whether this node shall watch the platform.
     pub is_watcher: bool,
 }
 
-/// The configuration in force on one node: which one, whether it has caught up
-/// since the start, and whom to ask next.
+/// State machine for the active configuration of one node: which document is active, whether it has
+/// caught up since the start, and where to look for a newer one.
 ///
-/// Nothing here waits for agreement. The platform's conditional update has
-/// ordered the generations already; a node only has to move up.
+/// Nodes need no consensus here. The platform's conditional update already orders the generations,
+/// so a node only moves to higher ones.
 pub struct ConfigurationState {
     pub(super) settings: ConfigurationSettings,
     pub(super) current: Option<ConfigurationDocument>,
-    /// Highest generation seen that this version cannot read.
+    /// Highest generation seen that this version cannot read; 0 for none.
     unreadable: Generation,
     pub(super) caught_up: bool,
-    pub(super) heard: BTreeMap<String, Generation>,
-    pub(super) answered: BTreeSet<String>,
+    pub(super) newer_at_peers: BTreeMap<String, Generation>,
+    pub(super) answered_peers: BTreeSet<String>,
     pub(super) pull: Option<Pull>,
     pub(super) next_pull: Instant,
     pub(super) platform: PlatformCalls,
     pub(super) was_watcher: bool,
-    /// The store no longer knows the revision that was watched from.
+    /// Whether the store no longer knows the revision that the watch started from.
     pub(super) is_revision_gone: bool,
 }
 
 impl ConfigurationState {
-    /// Starts with nothing in force.
+    /// Creates the state without an active configuration.
     pub fn new(settings: ConfigurationSettings, now: Instant) -> Self {
         Self {
             settings,
             current: None,
             unreadable: 0,
             caught_up: false,
-            heard: BTreeMap::new(),
-            answered: BTreeSet::new(),
+            newer_at_peers: BTreeMap::new(),
+            answered_peers: BTreeSet::new(),
             pull: None,
             next_pull: now,
             platform: PlatformCalls::new(now),
@@ -91,34 +91,34 @@
         }
     }
 
-    /// Generation in force; 0 for none.
+    /// Returns the active generation; 0 for none.
     pub fn generation(&self) -> Generation {
         self.current
             .as_ref()
             .map_or(0, |document| document.generation)
     }
 
-    /// Whether a newer document than the one in force could not be read.
+    /// Returns whether a newer document than the active one could not be read.
     pub(super) fn is_behind(&self) -> bool {
         self.unreadable > self.generation()
     }
 
-    /// Highest generation seen, readable or not: peers are not asked for it again.
+    /// Returns the highest generation seen, readable or not, which is not pulled from peers again.
     pub(super) fn newest_seen(&self) -> Generation {
         self.generation().max(self.unreadable)
     }
 
-    /// Document in force, for peers that pull it.
+    /// Returns the active document, for peers that pull it.
     pub fn current(&self) -> Option<&ConfigurationDocument> {
         self.current.as_ref()
     }
 
-    /// Whether calls may be taken.
+    /// Returns whether the configuration has caught up, so that calls may be taken.
     pub fn is_caught_up(&self) -> bool {
         self.caught_up
     }
 
-    /// To be called several times a second.
+    /// Starts platform calls and pulls that are due; must be called several times per second.
     pub fn tick(
         &mut self,
         now: Instant,
@@ -126,70 +126,76 @@
         rng: &mut impl Rng,
     ) -> Vec<ConfigurationAction> {
         let mut actions = Vec::new();
-        if self.platform.is_overdue(now) {
-            self.platform.fail(now, &self.settings, rng);
+        if self.platform.has_timed_out(now) {
+            self.platform.record_failure(now, &self.settings, rng);
         }
-        self.drop_overdue_pull(now);
-        self.ask_platform(now, view, &mut actions);
+        self.drop_timed_out_pull(now);
+        self.read_platform(now, view, &mut actions);
         self.check_caught_up(view, &mut actions);
-        self.ask_peer(now, view, &mut actions, rng);
+        self.pull_from_peer(now, view, &mut actions, rng);
         actions
     }
 
-    /// A command on this very node has stored a document.
+    /// Handles a document that a command on this node has stored.
     pub fn stored_locally(&mut self, document: ConfigurationDocument) -> Vec<ConfigurationAction> {
         let mut actions = Vec::new();
-        self.take(document, &mut actions);
+        self.apply_if_newer(document, &mut actions);
         actions
     }
 
-    /// Takes a document into force if its generation is higher.
+    /// Makes a document active if its generation is higher than the active one.
     ///
-    /// Answers overtake each other: a slow peer's or a retried read's may come
-    /// after a newer one. Taking it would revert a change that operators were
-    /// told is in force.
-    pub(super) fn take(
+    /// Answers may arrive out of order: the answer of a slow peer or a retried read may arrive
+    /// after a newer one. Applying it would revert a change that operators were told is active.
+    pub(super) fn apply_if_newer(
         &mut self,
         document: ConfigurationDocument,
         actions: &mut Vec<ConfigurationAction>,
     ) {
         let is_higher = document.generation > self.generation();
-        let keeps = self.settings.keeps(ConfigurationSafeguard::HigherOnly);
-        if document.generation == 0 || (keeps && !is_higher) {
+        let only_higher = self.settings.is_enabled(ConfigurationSafeguard::HigherOnly);
+        if document.generation == 0 || (only_higher && !is_higher) {
             return;
         }
         let generation = document.generation;
-        self.heard.retain(|_, heard| *heard > generation);
+        self.newer_at_peers
+            .retain(|_, announced| *announced > generation);
         if !(self.settings.can_read)(&document) {
-            self.leave_aside(generation, actions);
+            self.record_unreadable(generation, actions);
             return;
         }
         self.current = Some(document.clone());
         actions.push(ConfigurationAction::Install { document });
     }
 
-    /// A document with a field of a newer version is not in force here, whatever
-    /// its generation. Were it counted so, a starting node would call itself
-    /// ready with nothing to decide by, and refuse every call sent to it.
-    fn leave_aside(&mut self, generation: Generation, actions: &mut Vec<ConfigurationAction>) {
+    /// Records a document that this version cannot read, for example because it has a field of a
+    /// newer version, and that is therefore not applied.
+    ///
+    /// If it counted as active, a starting node would report itself ready without a usable
+    /// configuration and refuse every call.
+    fn record_unreadable(
+        &mut self,
+        generation: Generation,
+        actions: &mut Vec<ConfigurationAction>,
+    ) {
         if generation > self.unreadable {
             self.unreadable = generation;
             actions.push(ConfigurationAction::ReportUnreadable { generation });
         }
     }
 
-    /// Without the platform a starting node has caught up when several ready
-    /// peers have answered and none is known to have more. One peer alone may
-    /// have been cut off itself.
+    /// Checks whether a starting node has caught up without the platform: several ready peers have
+    /// answered, and none is known to have a higher generation. A single peer is not sufficient, as
+    /// it may itself have been cut off.
     fn check_caught_up(&mut self, view: &PeerView, actions: &mut Vec<ConfigurationAction>) {
-        if !self.settings.keeps(ConfigurationSafeguard::CatchUp) {
+        if !self.settings.is_enabled(ConfigurationSafeguard::CatchUp) {
             self.catch_up(actions);
             return;
         }
         let needed = self.settings.catch_up_peers.min(view.ready.len()).max(1);
-        let is_enough = self.answered.len() >= needed && self.heard.is_empty();
+        let is_confirmed = self.answered_peers.len() >= needed && self.newer_at_peers.is_empty();
         let has_newest = self.current.is_some() && !self.is_behind();
-        if has_newest && self.platform.has_failed() && is_enough {
+        if has_newest && self.platform.has_failed() && is_confirmed {
             self.catch_up(actions);
         }
     }
--- a/crates/hemlocktack-fleet/src/configuration/watchers.rs
+++ b/crates/hemlocktack-fleet/src/configuration/watchers.rs
@@ -1,15 +1,14 @@
-//! Which nodes watch the platform.
+//! Selection of the nodes that watch the platform.
 
 use hemlocktack_protocol::stable_hash;
 
-/// Whether a node is among the few of its data centre that watch the platform.
+/// Returns whether a node is one of the few in its data centre that watch the platform.
 ///
-/// A waiting watch counts against the platform's rate, so one for each node
-/// does not fit a growing fleet. The watchers are the lowest-ranked live nodes
-/// by hash: arithmetic and no agreement. Nodes whose views differ may watch in
-/// too great a number for a while, which costs a call and nothing else; too few
-/// cannot last, since the lowest-ranked node of any view takes itself for a
-/// watcher.
+/// An open watch counts against the platform's rate limit, so a watch per node does not scale with
+/// the fleet. The watchers are the live nodes with the lowest hash, which each node computes
+/// without coordination. While the views of nodes differ, there may be too many watchers, which
+/// only costs additional calls. There are never too few for long, because the lowest-ranked node of
+/// any view considers itself a watcher.
 pub fn watches_platform<'a>(
     own_node_id: &str,
     live_others: impl Iterator<Item = &'a str>,
--- a/crates/hemlocktack-fleet/src/drain/mod.rs
+++ b/crates/hemlocktack-fleet/src/drain/mod.rs
@@ -1,5 +1,4 @@
-//! The life of a node and of the upstream beside it, up to a stop that cuts
-//! nothing off.
+//! Lifecycle of a node and its upstream, up to a graceful stop.
 
 mod node_lifecycle;
 mod upstream_lifecycle;
--- a/crates/hemlocktack-fleet/src/drain/node_lifecycle.rs
+++ b/crates/hemlocktack-fleet/src/drain/node_lifecycle.rs
@@ -1,4 +1,4 @@
-//! A node from its start to a stop that cuts nothing off.
+//! Lifecycle of a node, from its start to a graceful stop.
 
 use std::time::{Duration, Instant};
 
@@ -8,31 +8,31 @@
 
 use super::upstream_lifecycle::{Announcement, Upstream, UpstreamSettings};
 
-/// A rule that a mutation run switches off, to show that the run notices.
-/// A node never does.
+/// A safeguard that a mutation test disables, to show that the randomised runs detect its absence.
+/// A node never disables one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, EnumIter, EnumString)]
 #[strum(serialize_all = "kebab-case")]
 pub enum DrainSafeguard {
-    /// A draining upstream's late renewal does not bring it back.
+    /// A late renewal by a draining upstream does not make it available again.
     LateRenewal,
     /// A stop waits for the calls in flight.
     WaitForCalls,
 }
 
-/// How a node stops.
+/// Settings of a node's planned stop.
 #[derive(Clone, Debug)]
 pub struct DrainSettings {
-    /// A draining node stays at least so long, refusing, so that others have
-    /// heard of the drain before it cannot answer any more.
+    /// Minimum duration of a drain, during which the node refuses new calls, so that other nodes
+    /// learn of the drain before this node stops answering.
     pub min_drain_time: Duration,
-    /// Longest that calls in flight are waited for, by the operators' choice.
-    /// Where it is exceeded, the calls left are reported and end as unknown.
+    /// Maximum time to wait for calls in flight, set by the operators. When it is exceeded, the
+    /// remaining calls are reported and end as unknown.
     pub hard_limit: Option<Duration>,
-    /// Longest that a handover is waited for.
+    /// Maximum time to wait for the handover.
     pub handover_limit: Duration,
-    /// Periods of the upstream's announcements.
+    /// Timing of the upstream's announcements.
     pub upstream: UpstreamSettings,
-    /// Rule that a mutation run leaves out.
+    /// Safeguard that a mutation test disables.
     pub disabled_safeguard: Option<DrainSafeguard>,
 }
 
@@ -48,60 +48,60 @@
     }
 }
 
-/// What the runtime has to do.
+/// Action for the runtime to perform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LifecycleAction {
-    /// Tell the members (`Membership::update_own`).
+    /// Publish the state to the members (`Membership::update_own`).
     Publish(PublishedState),
-    /// Nothing is in flight: give the tickets to a successor, then call
+    /// The wait for calls in flight is over: hand the tickets over to a successor, then call
     /// [`NodeLifecycle::handed_over`].
     HandOver,
     /// The hard limit was exceeded with calls still in flight.
     ReportOverrun {
-        /// Calls that will be cut off.
+        /// Number of calls that will be aborted.
         in_flight: usize,
     },
     /// Close the listeners and exit.
     Leave,
 }
 
-/// What members are told of a node.
+/// State of a node and its upstream that is published to the members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PublishedState {
     /// State of the node.
     pub state: NodeState,
     /// State of its upstream.
     pub upstream: UpstreamState,
-    /// Calls that the upstream runs side by side.
+    /// Number of calls that the upstream runs concurrently.
     pub slots: u32,
 }
 
-/// Where a stop stands.
+/// Phase of a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Stop {
+enum StopPhase {
     None,
     WaitingForCalls { since: Instant },
     HandingOver { since: Instant },
     Done,
 }
 
-/// The life of one node and its upstream.
+/// State machine for the lifecycle of one node and its upstream.
 pub struct NodeLifecycle {
     settings: DrainSettings,
     caught_up: bool,
-    stop: Stop,
+    stop: StopPhase,
     upstream: Upstream,
     published: PublishedState,
 }
 
 impl NodeLifecycle {
-    /// A node that has just started.
+    /// Creates the state of a node that has just started.
     pub fn new(settings: DrainSettings, now: Instant) -> Self {
         let upstream = Upstream::new(settings.upstream.clone(), now);
         Self {
             settings,
             caught_up: false,
-            stop: Stop::None,
+            stop: StopPhase::None,
             upstream,
             published: PublishedState {
                 state: NodeState::Starting,
@@ -111,98 +111,104 @@
         }
     }
 
-    /// What members were told last.
+    /// Returns the state that was published last.
     pub fn publication(&self) -> PublishedState {
         self.published
     }
 
-    /// State of this node.
+    /// Returns the state of this node.
     pub fn state(&self) -> NodeState {
         match self.stop {
-            Stop::None if self.caught_up => NodeState::Ready,
-            Stop::None => NodeState::Starting,
-            Stop::WaitingForCalls { .. } | Stop::HandingOver { .. } => NodeState::Draining,
-            Stop::Done => NodeState::Left,
+            StopPhase::None if self.caught_up => NodeState::Ready,
+            StopPhase::None => NodeState::Starting,
+            StopPhase::WaitingForCalls { .. } | StopPhase::HandingOver { .. } => {
+                NodeState::Draining
+            }
+            StopPhase::Done => NodeState::Left,
         }
     }
 
-    /// State of the upstream beside it.
+    /// Returns the state of this node's upstream.
     pub fn upstream(&self) -> UpstreamState {
         self.upstream.state()
     }
 
-    /// Whether a call may be handed to the upstream now.
+    /// Returns whether a new call may be sent to the upstream now.
     pub fn accepts_new_calls(&self) -> bool {
         let upstream = self.upstream();
         self.state() == NodeState::Ready
             && matches!(upstream, UpstreamState::Cold | UpstreamState::Ready)
     }
 
-    /// The configuration has caught up.
+    /// Handles that the configuration has caught up.
     pub fn configuration_caught_up(&mut self) -> Vec<LifecycleAction> {
         self.caught_up = true;
         self.publish_changes()
     }
 
-    /// The upstream announced itself or renewed its announcement.
+    /// Handles an announcement of the upstream or its renewal.
     pub fn announce(&mut self, now: Instant, announcement: Announcement) -> Vec<LifecycleAction> {
-        let keeps = self.settings.disabled_safeguard != Some(DrainSafeguard::LateRenewal);
-        self.upstream.announce(now, announcement, keeps);
+        let ignore_late_renewals =
+            self.settings.disabled_safeguard != Some(DrainSafeguard::LateRenewal);
+        self.upstream
+            .announce(now, announcement, ignore_late_renewals);
         self.publish_changes()
     }
 
-    /// The upstream asked for no more work.
+    /// Handles a request of the upstream to get no more calls.
     pub fn drain_upstream(&mut self) -> Vec<LifecycleAction> {
         self.upstream.drain();
         self.publish_changes()
     }
 
-    /// The operators have set another limit for calls in flight at a stop.
+    /// Changes the maximum time to wait for calls in flight.
     pub fn set_hard_limit(&mut self, hard_limit: Duration) {
         self.settings.hard_limit = Some(hard_limit);
     }
 
-    /// This node is to stop: by a signal, by an operator's command, or since it
-    /// has been replaced. Repeating it changes nothing.
+    /// Starts the planned stop: after a signal or an operator's command, or because this node has
+    /// been replaced. Idempotent.
     pub fn drain(&mut self, now: Instant) -> Vec<LifecycleAction> {
-        if self.stop == Stop::None {
-            self.stop = Stop::WaitingForCalls { since: now };
+        if self.stop == StopPhase::None {
+            self.stop = StopPhase::WaitingForCalls { since: now };
         }
         self.publish_changes()
     }
 
-    /// The tickets have a new home, or none could be found.
+    /// Handles the end of the handover, whether or not a successor took the tickets.
     pub fn handed_over(&mut self) -> Vec<LifecycleAction> {
-        if !matches!(self.stop, Stop::HandingOver { .. }) {
+        if !matches!(self.stop, StopPhase::HandingOver { .. }) {
             return Vec::new();
         }
-        self.stop = Stop::Done;
+        self.stop = StopPhase::Done;
         let mut actions = self.publish_changes();
         actions.push(LifecycleAction::Leave);
         actions
     }
 
-    /// To be called several times a second: an upstream's announcement may
-    /// have lapsed.
+    /// Checks whether the upstream's announcement has expired; must be called several times per
+    /// second.
     pub fn check_upstream(&mut self, now: Instant) -> Vec<LifecycleAction> {
         self.upstream.tick(now);
         self.publish_changes()
     }
 
-    /// To be called several times a second during a stop, with the calls in
-    /// flight here in both roles.
+    /// Advances a planned stop; must be called several times per second while it lasts.
+    ///
+    /// `in_flight` is the number of calls in flight on this node, both those that entered here and
+    /// those that run here.
     pub fn check_stop(&mut self, now: Instant, in_flight: usize) -> Vec<LifecycleAction> {
         let mut actions = Vec::new();
         match self.stop {
-            Stop::WaitingForCalls { since } => {
+            StopPhase::WaitingForCalls { since } => {
                 self.wait_for_calls(now, since, in_flight, &mut actions);
             }
-            Stop::HandingOver { since } => {
+            StopPhase::HandingOver { since } => {
                 if now.saturating_duration_since(since) >= self.settings.handover_limit {
                     actions.append(&mut self.handed_over());
                 }
             }
-            Stop::None | Stop::Done => {}
+            StopPhase::None | StopPhase::Done => {}
         }
         actions
     }
@@ -215,18 +221,19 @@
         actions: &mut Vec<LifecycleAction>,
     ) {
         let waited = now.saturating_duration_since(since);
-        let is_over = self
+        let limit_reached = self
             .settings
             .hard_limit
             .is_some_and(|limit| waited >= limit);
-        if is_over && in_flight > 0 {
+        if limit_reached && in_flight > 0 {
             actions.push(LifecycleAction::ReportOverrun { in_flight });
         }
-        let waits = self.settings.disabled_safeguard != Some(DrainSafeguard::WaitForCalls);
-        let is_idle = in_flight == 0 || !waits;
-        let is_settled = is_idle && waited >= self.settings.min_drain_time;
-        if is_over || is_settled {
-            self.stop = Stop::HandingOver { since: now };
+        let waits_for_calls =
+            self.settings.disabled_safeguard != Some(DrainSafeguard::WaitForCalls);
+        let is_idle = in_flight == 0 || !waits_for_calls;
+        let may_hand_over = is_idle && waited >= self.settings.min_drain_time;
+        if limit_reached || may_hand_over {
+            self.stop = StopPhase::HandingOver { since: now };
             actions.push(LifecycleAction::HandOver);
         }
     }
--- a/crates/hemlocktack-fleet/src/drain/upstream_lifecycle.rs
+++ b/crates/hemlocktack-fleet/src/drain/upstream_lifecycle.rs
@@ -1,17 +1,16 @@
-//! What the upstream beside this node last said of itself.
+//! State of this node's upstream, from its announcements.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
 use hemlocktack_protocol::UpstreamState;
 
-/// Periods of an upstream's announcements.
+/// Timing of an upstream's announcements.
 #[derive(Clone, Debug)]
 pub struct UpstreamSettings {
-    /// An announcement that is not renewed for so long has lapsed.
+    /// Time after which an announcement expires unless it is renewed.
     pub announcement_ttl: Duration,
-    /// A cold upstream counts as warm after this time, if it does not say so
-    /// itself before.
+    /// Time after which a cold upstream counts as warm, unless it reports so earlier.
     pub warm_up: Duration,
 }
 
@@ -24,29 +23,30 @@
     }
 }
 
-/// What an upstream announces of itself.
+/// Announcement of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Announcement {
-    /// Where it is reached; another one is another start.
+    /// Address of the upstream. Another address means that another process was started.
     pub address: SocketAddr,
-    /// Calls that it runs side by side.
+    /// Number of calls that it runs concurrently.
     pub slots: u32,
-    /// It has started a short while ago.
+    /// Whether it has only recently started.
     pub is_cold: bool,
-    /// It has named itself, and by another name than before: another start.
+    /// Whether it identified itself with another name than before, which means that another process
+    /// was started.
     pub is_other_start: bool,
 }
 
-/// State of the upstream, by its announcements.
+/// State of the upstream, from its announcements.
 pub(super) struct Upstream {
     settings: UpstreamSettings,
     state: UpstreamState,
-    /// It said that it takes no more work. Kept apart from the state: a lapse
-    /// says only that nothing was heard.
+    /// Whether the upstream asked for no more calls. Kept separately from the state, because an
+    /// expired announcement only means that nothing was received.
     is_leaving: bool,
     address: Option<SocketAddr>,
     pub(super) slots: u32,
-    renewed: Instant,
+    last_renewal: Instant,
     cold_since: Instant,
 }
 
@@ -58,7 +58,7 @@
             is_leaving: false,
             address: None,
             slots: 0,
-            renewed: now,
+            last_renewal: now,
             cold_since: now,
         }
     }
@@ -67,24 +67,28 @@
         self.state
     }
 
-    /// Takes an announcement or its renewal.
+    /// Handles an announcement or its renewal.
     ///
-    /// A leaving upstream's renewal may come after its drain, and after a lapse
-    /// when it or the node was paused; were it taken for a return, new work
-    /// would go to an upstream that is about to stop. So only a cold start,
-    /// another name or another address, which is another start whatever it
-    /// says, ends leaving. Names count on their own: a start that is heard of
-    /// late is no longer cold, and without them its node would refuse all calls
-    /// for as long as it lives.
-    pub(super) fn announce(&mut self, now: Instant, announcement: Announcement, guards: bool) {
-        self.renewed = now;
+    /// A renewal by a leaving upstream may arrive after its drain, and even after its announcement
+    /// expired because the upstream or this node was paused. Treating it as a return would send new
+    /// calls to an upstream that is about to stop. A leaving upstream therefore returns only with a
+    /// cold start, another name or another address, each of which indicates a new process. A new
+    /// name is sufficient, because a process whose first announcement is late is no longer cold:
+    /// without that rule its node would refuse all calls for as long as the process runs.
+    pub(super) fn announce(
+        &mut self,
+        now: Instant,
+        announcement: Announcement,
+        ignore_late_renewals: bool,
+    ) {
+        self.last_renewal = now;
         let is_other = self
             .address
             .is_some_and(|known| known != announcement.address);
         let is_start = announcement.is_cold || (self.is_leaving && is_other);
         let has_returned = is_start || announcement.is_other_start;
         self.address = Some(announcement.address);
-        if guards && self.is_leaving && !has_returned {
+        if ignore_late_renewals && self.is_leaving && !has_returned {
             self.state = UpstreamState::Draining;
             return;
         }
@@ -92,17 +96,18 @@
         self.slots = announcement.slots;
         self.state = match (self.state, is_start) {
             (UpstreamState::Cold | UpstreamState::Ready, true) => self.state,
-            (_, true) => self.begin_cold(now),
+            (_, true) => self.begin_warm_up(now),
             (_, false) => UpstreamState::Ready,
         };
     }
 
-    fn begin_cold(&mut self, now: Instant) -> UpstreamState {
+    fn begin_warm_up(&mut self, now: Instant) -> UpstreamState {
         self.cold_since = now;
         UpstreamState::Cold
     }
 
-    /// Also one that is absent now may be heard of again before it has stopped.
+    /// Marks the upstream as draining. An absent upstream is marked as leaving too, because it may
+    /// still renew its announcement before it stops.
     pub(super) fn drain(&mut self) {
         self.is_leaving = true;
         if self.state != UpstreamState::Absent {
@@ -111,7 +116,7 @@
     }
 
     pub(super) fn tick(&mut self, now: Instant) {
-        let silence = now.saturating_duration_since(self.renewed);
+        let silence = now.saturating_duration_since(self.last_renewal);
         if silence >= self.settings.announcement_ttl {
             self.state = UpstreamState::Absent;
         }
--- a/crates/hemlocktack-fleet/src/handover/incoming.rs
+++ b/crates/hemlocktack-fleet/src/handover/incoming.rs
@@ -1,4 +1,4 @@
-//! The successor's side.
+//! The successor's side of a handover.
 
 use std::collections::HashMap;
 
@@ -6,44 +6,44 @@
 use hemlocktack_protocol::{Handover, HandoverAccepted};
 use prost::Message;
 
-use crate::handover::parts::from_frame;
+use crate::handover::parts::decode_entry;
 use crate::peer::NodeIncarnation;
 use crate::tickets::{TicketTable, TransferEntry, TransferTable};
 
 /// Result of the functions of this module.
 pub type Result<T> = std::result::Result<T, HandoverError>;
 
-/// Why a `Handover` frame is not taken. The sender may try another successor.
+/// Why a `Handover` frame is refused. The sender may try another successor.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum HandoverError {
-    /// Not a frame that a node of the fleet makes.
+    /// The frame is malformed.
     #[display("malformed handover frame")]
     Malformed,
-    /// Larger than this node may keep, or too many handovers at once.
-    #[display("the handover is larger than this node takes")]
+    /// The handover exceeds a limit, or too many handovers are in progress.
+    #[display("the handover exceeds this node's limits")]
     TooLarge,
-    /// This node is stopping itself.
-    #[display("this node is stopping itself")]
+    /// This node is itself stopping.
+    #[display("this node is itself stopping")]
     Stopping,
-    /// A commit of a table that is not here in whole.
-    #[display("commit of a handover that is not complete here")]
+    /// The commit frame is for a table that has not been received completely.
+    #[display("commit of a handover that has not been received completely")]
     NotComplete,
 }
 
-/// Bounds of handovers that are not yet committed.
+/// Limits on handovers that are not yet committed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HandoverLimits {
-    /// Tables at once.
+    /// Number of tables at the same time.
     pub tables: usize,
-    /// Entries of one table.
+    /// Number of entries of one table.
     pub entries: usize,
     /// Encoded bytes of one table.
     pub table_bytes: usize,
 }
 
 impl Default for HandoverLimits {
-    /// One full table of the default limits with all its answers, and the
-    /// tables that its node adopted before.
+    /// Room for a full table of the default limits with all its answers, and for the tables that
+    /// its node adopted earlier.
     fn default() -> HandoverLimits {
         HandoverLimits {
             tables: 18,
@@ -68,7 +68,7 @@
     complete: bool,
 }
 
-/// Tables that are offered to this node and not yet committed to it.
+/// Tables that have been offered to this node and are not yet committed.
 #[derive(Clone, Debug)]
 pub struct IncomingHandovers {
     limits: HandoverLimits,
@@ -76,7 +76,7 @@
 }
 
 impl IncomingHandovers {
-    /// For one start of a node.
+    /// Creates the state for one incarnation of a node.
     pub fn new(limits: HandoverLimits) -> IncomingHandovers {
         IncomingHandovers {
             limits,
@@ -84,10 +84,10 @@
         }
     }
 
-    /// Takes in a `Handover` frame; the reply goes back to its sender.
+    /// Processes a `Handover` frame and returns the reply to its sender.
     ///
-    /// A part that came before or out of order changes nothing: the sender
-    /// sends the whole table again over a new link.
+    /// A duplicate or out-of-order part is ignored: the sender sends the whole table again over a
+    /// new link.
     pub fn handle_frame(
         &mut self,
         table: &mut TicketTable,
@@ -120,18 +120,18 @@
         Ok(accepted)
     }
 
-    /// Forgets what was offered and not committed by nodes that have gone.
+    /// Discards uncommitted offers of nodes for which `is_there` returns `false`.
     pub fn retain_offers_of(&mut self, is_there: impl Fn(&NodeIncarnation) -> bool) {
         self.offers.retain(|key, _| is_there(&key.from));
     }
 
-    /// Entries held in offers.
+    /// Returns the number of entries in uncommitted offers.
     pub fn entry_count(&self) -> usize {
         self.offers.values().map(|offer| offer.entries.len()).sum()
     }
 
     fn commit(&mut self, table: &mut TicketTable, key: OfferKey) -> Result<()> {
-        // The acceptance of an earlier commit frame was lost.
+        // A repeated commit frame: the reply to the first one was lost.
         if table.has_adopted(&key.home) {
             return Ok(());
         }
@@ -183,7 +183,7 @@
             return Err(HandoverError::Malformed);
         }
         for entry in frame.entries {
-            let entry = from_frame(entry).ok_or(HandoverError::Malformed)?;
+            let entry = decode_entry(entry).ok_or(HandoverError::Malformed)?;
             if entry.epoch > self.current_epoch {
                 return Err(HandoverError::Malformed);
             }
--- a/crates/hemlocktack-fleet/src/handover/outgoing.rs
+++ b/crates/hemlocktack-fleet/src/handover/outgoing.rs
@@ -1,4 +1,4 @@
-//! The stopping home's side.
+//! The stopping home's side of a handover.
 
 use hemlocktack_protocol::{Handover, HandoverAccepted};
 
@@ -6,16 +6,16 @@
 use crate::peer::NodeIncarnation;
 use crate::tickets::TicketTable;
 
-/// What to do after a `HandoverAccepted` frame.
+/// Progress of a handover after a `HandoverAccepted` frame.
 #[derive(Clone, Debug, PartialEq)]
 pub enum HandoverProgress {
-    /// Nothing yet, or the frame was not of this handover.
+    /// More frames are expected, or the frame does not belong to this handover.
     Waiting,
-    /// Every table was accepted: send these to the same successor.
+    /// Every table was accepted: send these commit frames to the same successor.
     Commit(Vec<Handover>),
-    /// The successor takes nothing: try another one.
+    /// The successor refused: try another one.
     Refused,
-    /// The successor is the home now.
+    /// The successor is now the home.
     Finished,
 }
 
@@ -41,8 +41,8 @@
 }
 
 impl OutgoingHandover {
-    /// Freezes the table: it starts nothing from now on, whatever becomes of
-    /// the handover.
+    /// Freezes the table and starts the handover. No further request starts on this node, even if
+    /// the handover fails.
     pub fn begin(table: &mut TicketTable) -> OutgoingHandover {
         let homes = table.homes().cloned().collect();
         let parts = table.freeze().into_iter().flat_map(to_parts).collect();
@@ -53,10 +53,10 @@
         }
     }
 
-    /// Frames for a successor: all parts, or the commit where it is due. Sent
-    /// again over each new link to the same incarnation.
+    /// Returns the frames for a successor: all parts, or the commit frames once every table was
+    /// accepted. They are sent again over each new link to the same incarnation.
     ///
-    /// Empty where the handover is bound to another successor.
+    /// Returns nothing if another successor has been chosen.
     pub fn offer(&mut self, successor: &NodeIncarnation) -> Vec<Handover> {
         match &self.stage {
             Stage::NotOffered => {
@@ -77,9 +77,8 @@
         }
     }
 
-    /// Gives up a successor that does not answer. `false` once the commit may
-    /// have left: it may have arrived, and a second successor would be a
-    /// second home.
+    /// Gives up a successor that does not answer. Returns `false` if a commit frame may have been
+    /// sent: it may have arrived, and a second successor would then be a second home.
     pub fn abandon(&mut self) -> bool {
         if let Stage::Committed { .. } = self.stage {
             return false;
@@ -88,7 +87,7 @@
         true
     }
 
-    /// Takes in a `HandoverAccepted` frame of the node that sent it.
+    /// Processes a `HandoverAccepted` frame from the node `from`.
     pub fn handle_accepted(
         &mut self,
         from: &NodeIncarnation,
@@ -137,7 +136,7 @@
         }
     }
 
-    /// The successor that the tickets are committed to.
+    /// Returns the successor that the tickets are committed to.
     pub fn successor(&self) -> Option<&NodeIncarnation> {
         match &self.stage {
             Stage::Committed { successor, .. } => Some(successor),
--- a/crates/hemlocktack-fleet/src/handover/parts.rs
+++ b/crates/hemlocktack-fleet/src/handover/parts.rs
@@ -1,4 +1,4 @@
-//! A table as `Handover` frames, and back.
+//! Encoding of ticket tables as `Handover` frames.
 
 use std::sync::Arc;
 
@@ -9,10 +9,10 @@
 use crate::peer::NodeIncarnation;
 use crate::tickets::{Nonce, TicketOutcome, TransferEntry, TransferTable};
 
-// Well under any frame limit, and many links' other frames fit in between.
+// Well below any frame limit, and small enough that other frames of the link are not held up.
 const PART_LIMIT_BYTES: usize = 256 << 10;
-// Answers of one table that go over, so that it stays under what a successor
-// takes in (`HandoverLimits::table_bytes`) however many the operators keep.
+// Limit on the answers of one table, so that the table stays below the limit of the successor
+// (`HandoverLimits::table_bytes`) however large the operators' budget for kept answers is.
 const ANSWERS_LIMIT_BYTES: usize = 24 << 20;
 
 pub(crate) fn to_parts(mut table: TransferTable) -> Vec<Handover> {
@@ -25,7 +25,7 @@
     };
     let mut parts = vec![empty.clone()];
     let mut part_bytes = 0;
-    for entry in table.entries.into_iter().map(to_frame) {
+    for entry in table.entries.into_iter().map(encode_entry) {
         let entry_bytes = entry.encoded_len();
         if part_bytes > 0 && part_bytes + entry_bytes > PART_LIMIT_BYTES {
             parts.push(Handover {
@@ -45,8 +45,8 @@
     parts
 }
 
-// Entries are listed oldest epoch first; the latest answers are the likeliest
-// to be asked for again.
+// Keeps the latest answers, which are the most likely to be requested again. Entries are ordered
+// from the oldest epoch to the latest.
 fn drop_oldest_answers(entries: &mut [TransferEntry]) {
     let mut left_bytes = ANSWERS_LIMIT_BYTES;
     for entry in entries.iter_mut().rev() {
@@ -69,7 +69,7 @@
     }
 }
 
-fn to_frame(entry: TransferEntry) -> HandoverEntry {
+fn encode_entry(entry: TransferEntry) -> HandoverEntry {
     let progress = match entry.end {
         TicketOutcome::Answered => TicketProgress::Answered,
         TicketOutcome::NotRun(_) => TicketProgress::Fenced,
@@ -84,8 +84,8 @@
     }
 }
 
-/// `None`: not an entry that any node of the fleet makes.
-pub(crate) fn from_frame(entry: HandoverEntry) -> Option<TransferEntry> {
+/// Decodes an entry; `None` if it is malformed.
+pub(crate) fn decode_entry(entry: HandoverEntry) -> Option<TransferEntry> {
     let nonce: [u8; size_of::<Nonce>()] = entry.nonce.as_ref().try_into().ok()?;
     let end = match entry.progress() {
         TicketProgress::Answered => TicketOutcome::Answered,
--- a/crates/hemlocktack-fleet/src/keys.rs
+++ b/crates/hemlocktack-fleet/src/keys.rs
@@ -1,9 +1,8 @@
 //! The fleet's shared keys and the MACs made with them.
 //!
-//! Tickets, link handshakes and gossip datagrams all prove knowledge of the
-//! fleet key. Two keys may be valid at once, so that operators can change the
-//! key without a stop: first every node accepts the new one, then every node
-//! signs with it, then the old one is dropped.
+//! Tickets, link handshakes and gossip datagrams are authenticated with the fleet key. Two keys
+//! may be valid at once, so that operators can rotate the key without downtime: first every node
+//! accepts the new key, then every node signs with it, then the old key is removed.
 
 use std::fmt;
 
@@ -13,7 +12,7 @@
 
 /// Length of a MAC in bytes.
 pub const MAC_LENGTH_BYTES: usize = 32;
-/// Shorter keys are refused: they could be guessed from one captured MAC.
+/// Minimum key length. A shorter key could be found by brute force from one captured MAC.
 pub const KEY_MIN_LENGTH_BYTES: usize = 16;
 
 /// HMAC-SHA-256 of a message.
@@ -21,23 +20,23 @@
 /// Result of the functions of this module.
 pub type Result<T> = std::result::Result<T, KeyError>;
 
-/// Why a key is not taken.
+/// Why a key is rejected.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum KeyError {
-    /// Fewer bytes than [`KEY_MIN_LENGTH_BYTES`].
+    /// The key is shorter than [`KEY_MIN_LENGTH_BYTES`].
     #[display("the fleet key is shorter than {KEY_MIN_LENGTH_BYTES} bytes")]
     TooShort,
 }
 
-/// What a MAC is made for.
+/// Purpose of a MAC, which is part of the authenticated data.
 ///
-/// It goes into the MAC, because a MAC that could be replayed for another
-/// purpose would let a captured handshake proof pass as a ticket.
+/// This domain separation prevents a MAC captured in one protocol from being replayed in another,
+/// for example a handshake proof as a ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MacPurpose {
-    /// A ticket's fields.
+    /// The fields of a ticket.
     Ticket,
-    /// The nonce of a ticket that is derived from a parent call.
+    /// The nonce of a child call's ticket, derived from its parent's.
     ChildNonce,
     /// The acceptor's proof in a link handshake.
     LinkAcceptor,
@@ -45,7 +44,7 @@
     LinkDialler,
     /// A gossip datagram.
     Gossip,
-    /// A call's context as the upstream passes it on.
+    /// The context of a call, which the upstream forwards with its child calls.
     Context,
 }
 
@@ -62,7 +61,7 @@
     }
 }
 
-/// One or two keys: signs with the first, accepts either.
+/// One or two fleet keys: MACs are made with the first and accepted under either.
 #[derive(Clone)]
 pub struct FleetKeys {
     signing: Hmac<Sha256>,
@@ -70,10 +69,10 @@
 }
 
 impl FleetKeys {
-    /// Takes the key to sign with and, while keys are changed, a second one to accept.
+    /// Creates the keys from the signing key and, during a key rotation, a second accepted key.
     ///
     /// # Errors
-    /// [`KeyError::TooShort`] for either key.
+    /// [`KeyError::TooShort`] if either key is too short.
     pub fn new(signing: &[u8], also_accepted: Option<&[u8]>) -> Result<FleetKeys> {
         let signing = keyed_mac(signing)?;
         let also_accepted = also_accepted.map(keyed_mac).transpose()?;
@@ -83,20 +82,21 @@
         })
     }
 
-    /// MAC of a message that consists of `parts`.
+    /// Returns the MAC of a message that consists of `parts`.
     ///
-    /// Each part goes in with its length: `["ab", "c"]` and `["a", "bc"]` differ.
+    /// Each part is prefixed with its length, so `["ab", "c"]` and `["a", "bc"]` have different
+    /// MACs.
     pub fn sign(&self, purpose: MacPurpose, parts: &[&[u8]]) -> FleetMac {
-        absorb(&self.signing, purpose, parts)
+        mac_of(&self.signing, purpose, parts)
             .finalize()
             .into_bytes()
             .into()
     }
 
-    /// Whether `mac` is this message's under any valid key.
+    /// Returns whether `mac` is the MAC of the message under any valid key.
     ///
-    /// A prefix of at least 16 bytes is accepted as a truncated MAC. The
-    /// comparison takes the same time wherever the first difference is.
+    /// A prefix of at least 16 bytes is accepted as a truncated MAC. The comparison runs in
+    /// constant time.
     pub fn verify(&self, purpose: MacPurpose, parts: &[&[u8]], mac: &[u8]) -> bool {
         if mac.len() < KEY_MIN_LENGTH_BYTES {
             return false;
@@ -104,7 +104,7 @@
         let keys = std::iter::once(&self.signing).chain(&self.also_accepted);
         keys.fold(false, |valid, key| {
             valid
-                | absorb(key, purpose, parts)
+                | mac_of(key, purpose, parts)
                     .verify_truncated_left(mac)
                     .is_ok()
         })
@@ -112,7 +112,7 @@
 }
 
 impl fmt::Debug for FleetKeys {
-    // A key in a log or a panic message would be a key given away.
+    // Keeps the keys out of logs and panic messages.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let accepted_count = 1 + usize::from(self.also_accepted.is_some());
         formatter
@@ -129,16 +129,16 @@
     Hmac::new_from_slice(key).map_err(|_| KeyError::TooShort)
 }
 
-fn absorb(key: &Hmac<Sha256>, purpose: MacPurpose, parts: &[&[u8]]) -> Hmac<Sha256> {
+fn mac_of(key: &Hmac<Sha256>, purpose: MacPurpose, parts: &[&[u8]]) -> Hmac<Sha256> {
     let mut mac = key.clone();
-    absorb_part(&mut mac, purpose.label());
+    update_with_part(&mut mac, purpose.label());
     for part in parts {
-        absorb_part(&mut mac, part);
+        update_with_part(&mut mac, part);
     }
     mac
 }
 
-fn absorb_part(mac: &mut Hmac<Sha256>, part: &[u8]) {
+fn update_with_part(mac: &mut Hmac<Sha256>, part: &[u8]) {
     mac.update(&(part.len() as u64).to_be_bytes());
     mac.update(part);
 }
--- a/crates/hemlocktack-fleet/src/lib.rs
+++ b/crates/hemlocktack-fleet/src/lib.rs
@@ -1,5 +1,8 @@
-//! What nodes must agree on, as state machines free of input and output:
-//! events go in, decisions come out; time and random numbers are arguments.
+//! State machines for everything that nodes must agree on: membership, configuration, tickets,
+//! handover and drain.
+//!
+//! They perform no I/O: each takes events and returns actions. The current time and the random
+//! number generator are passed in as arguments.
 
 pub mod calls;
 pub mod configuration;
--- a/crates/hemlocktack-fleet/src/membership/datagram.rs
+++ b/crates/hemlocktack-fleet/src/membership/datagram.rs
@@ -1,4 +1,4 @@
-//! Datagrams as bytes: the message, then a MAC of fixed length.
+//! Encoding of datagrams: the message, followed by a MAC of fixed length.
 
 use bytes::{Bytes, BytesMut};
 use derive_more::{Display, Error};
@@ -15,18 +15,18 @@
     /// Shorter than a MAC.
     #[display("datagram is too short")]
     TooShort,
-    /// The sender did not prove the fleet key.
+    /// The datagram was not signed with a valid fleet key.
     #[display("datagram has a wrong MAC")]
     WrongMac,
-    /// Not a gossip message.
+    /// The message cannot be decoded.
     #[display("datagram cannot be decoded")]
     Undecodable,
-    /// It names a node by an id that none can have.
+    /// A node id is longer than any valid one.
     #[display("datagram has an id over {NODE_ID_LIMIT_BYTES} bytes")]
     OverlongId,
 }
 
-/// Encodes a message and puts its MAC behind it.
+/// Encodes a message and appends its MAC.
 pub fn seal_datagram(gossip: &Gossip, mac: impl FnOnce(&[u8]) -> Bytes) -> Bytes {
     let mut datagram = BytesMut::from(gossip.encode_to_vec().as_slice());
     let mac = mac(&datagram);
@@ -34,20 +34,20 @@
     datagram.freeze()
 }
 
-/// Checks the MAC, and only then decodes the message.
+/// Verifies the MAC and then decodes the message.
 ///
 /// # Errors
-/// What the bytes are not: a datagram with a right MAC and a message behind it.
+/// The reason why the datagram is dropped.
 pub fn open_datagram(
     mut datagram: Bytes,
     mac_bytes: usize,
-    is_right: impl FnOnce(&[u8], &[u8]) -> bool,
+    is_valid_mac: impl FnOnce(&[u8], &[u8]) -> bool,
 ) -> Result<Gossip> {
     let Some(length) = datagram.len().checked_sub(mac_bytes) else {
         return Err(DatagramError::TooShort);
     };
     let mac = datagram.split_off(length);
-    if !is_right(&datagram, &mac) {
+    if !is_valid_mac(&datagram, &mac) {
         return Err(DatagramError::WrongMac);
     }
     let gossip = Gossip::decode(datagram).map_err(|_| DatagramError::Undecodable)?;
@@ -57,10 +57,10 @@
     Ok(gossip)
 }
 
-/// Whether a node is named in it by an id that none can have.
+/// Returns whether a node id in the message is longer than any valid one.
 ///
-/// Failure: an answer repeats such an id, and does not fit a datagram. Symptom: it is
-/// cut into pieces by the network and lost as a whole when one of them is.
+/// A reply repeats such an id and would exceed the datagram limit: it would be fragmented by the
+/// network and lost entirely whenever one fragment is lost.
 fn has_overlong_id(gossip: &Gossip) -> bool {
     let in_body: [&str; 2] = match &gossip.body {
         Some(gossip::Body::Probe(probe)) => [&probe.on_behalf_of, ""],
--- a/crates/hemlocktack-fleet/src/membership/machine.rs
+++ b/crates/hemlocktack-fleet/src/membership/machine.rs
@@ -1,4 +1,4 @@
-//! The membership of one node: its own record and what it believes of others.
+//! Membership state of one node: its own record and its view of the other nodes.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -8,56 +8,56 @@
 };
 use rand::Rng;
 
-use super::gossip_queue::News;
+use super::gossip_queue::GossipQueue;
 use super::probes::Probes;
 use super::record;
 use super::settings::{MembershipSafeguard, MembershipSettings};
 use super::table::{self, Entry, Table};
 use crate::drain::PublishedState;
 
-/// What the runtime has to do.
+/// Action for the runtime to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MembershipAction {
     /// Send one datagram.
     Send {
-        /// Gossip address of the receiver.
+        /// Gossip address of the recipient.
         to: SocketAddr,
-        /// What to send; a MAC goes behind it.
+        /// Message to send; its MAC is appended.
         gossip: Box<Gossip>,
     },
-    /// The members or their states changed: take a new snapshot.
+    /// The members or their states changed, so a new snapshot is needed.
     MembersChanged,
-    /// Another node of the service found requests that crash upstreams.
+    /// Another node of the service reported requests that crash upstreams.
     SuspectsReceived {
-        /// What it found.
+        /// The reported requests.
         suspects: Vec<SuspectRequest>,
     },
-    /// A peer has a higher generation in force than this node.
+    /// A peer has a higher active generation than this node.
     NewerGenerationSeen {
         /// Peer to pull from.
         node_id: String,
-        /// Its generation in force.
+        /// The peer's active generation.
         generation: Generation,
     },
-    /// A later start of this node's own id runs at another address: this one
-    /// has been replaced and must drain.
+    /// A later incarnation with this node's id runs at another address. This node has been replaced
+    /// and must drain.
     Superseded {
         /// Incarnation of the replacement.
         by: Incarnation,
     },
 }
 
-/// What this node believes of another one.
+/// This node's view of another node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Peer {
-    /// The other node's own last word.
+    /// The latest record published by the other node itself.
     pub member: Member,
-    /// Its state with others' accusations: may be `Suspect` or `Dead`.
+    /// Its state, including accusations by other nodes: may be `Suspect` or `Dead`.
     pub state: NodeState,
 }
 
 impl Peer {
-    /// Whether new calls may be placed on it.
+    /// Returns whether new calls may be sent to it.
     pub fn accepts_new_calls(&self) -> bool {
         let upstream = self.member.upstream();
         self.state == NodeState::Ready
@@ -65,103 +65,103 @@
     }
 }
 
-/// Comparison of this node's table with one peer's, page by page.
-pub(super) struct Sweep {
+/// Page-by-page comparison of this node's table with that of a peer.
+pub(super) struct TableSync {
     pub(super) peer: SocketAddr,
     pub(super) cursor: String,
 }
 
-/// Membership as one node sees it.
+/// Membership state machine of one node.
 ///
-/// Each period it probes one member and tells news on the datagrams that the
-/// probes need anyway. So what a node sends and receives is the same whether
-/// the fleet has 8 nodes or 560; only the time until all have heard grows, with
-/// the logarithm.
+/// In each period it probes one member, and piggybacks updates on the datagrams that the probes
+/// need anyway. The traffic of a node is therefore the same whether the fleet has 8 nodes or 560.
+/// Only the time until an update has reached all nodes grows, logarithmically.
 pub struct Membership {
     pub(super) settings: MembershipSettings,
     pub(super) own: Member,
     pub(super) generation: Generation,
     pub(super) table: Table,
-    pub(super) news: News,
+    pub(super) gossip_queue: GossipQueue,
     pub(super) probes: Probes,
     pub(super) seeds: Vec<SocketAddr>,
-    pub(super) sweep: Option<Sweep>,
+    pub(super) table_sync: Option<TableSync>,
     pub(super) joined: bool,
-    /// Set while a whole table is read at once: after the start, and after a
-    /// pause of this process.
-    pub(super) reading_since: Option<Instant>,
-    /// Seeds have come that nobody was asked by yet.
-    pub(super) asks_seeds: bool,
-    /// Members whose tables have been read since then.
-    pub(super) read_from: Vec<SocketAddr>,
-    pub(super) pulled: Instant,
+    /// Set while this node reads whole tables from peers: after its start, and after a pause of its
+    /// process.
+    pub(super) full_read_since: Option<Instant>,
+    /// Whether there are new seeds that have not been queried yet.
+    pub(super) seeds_changed: bool,
+    /// Members whose tables have been read since `full_read_since`.
+    pub(super) tables_read_from: Vec<SocketAddr>,
+    pub(super) last_pull: Instant,
     pub(super) now: Instant,
     pub(super) last_tick: Instant,
     pub(super) next_period: Instant,
     pub(super) next_retry: Instant,
     pub(super) next_sync: Instant,
-    pub(super) pages_given: u32,
+    pub(super) pages_sent: u32,
     pub(super) urgent_sent: u32,
 }
 
 impl Membership {
-    /// Starts with this node alone. `own` carries a fresh incarnation; its
-    /// `start_order` is the wall clock in milliseconds, which only has to rank
-    /// one node id's starts and is raised if it does not.
+    /// Creates the state of a node that knows no other nodes.
+    ///
+    /// `own` has a new incarnation. Its `start_order` is the wall clock in milliseconds; it only
+    /// has to rank the incarnations of one node id, and is raised if it does not.
     pub fn new(settings: MembershipSettings, mut own: Member, now: Instant) -> Self {
         own.version = own.version.max(1);
-        if !settings.keeps(MembershipSafeguard::StartOrder) {
+        if !settings.is_enabled(MembershipSafeguard::StartOrder) {
             own.start_order = 0;
         }
-        let mut news = News::new(own.incarnation);
-        news.push(&own.node_id);
+        let mut gossip_queue = GossipQueue::new(own.incarnation);
+        gossip_queue.push(&own.node_id);
         Self {
             settings,
             own,
             generation: 0,
             table: Table::default(),
-            news,
+            gossip_queue,
             probes: Probes::default(),
             seeds: Vec::new(),
-            sweep: None,
+            table_sync: None,
             joined: false,
-            reading_since: Some(now),
-            asks_seeds: false,
-            read_from: Vec::new(),
-            pulled: now,
+            full_read_since: Some(now),
+            seeds_changed: false,
+            tables_read_from: Vec::new(),
+            last_pull: now,
             now,
             last_tick: now,
             next_period: now,
             next_retry: now,
             next_sync: now,
-            pages_given: 0,
+            pages_sent: 0,
             urgent_sent: 0,
         }
     }
 
-    /// Gossip addresses to try where nobody else is known, from settings or
-    /// from the platform's objects. Replaces earlier ones.
+    /// Replaces the seeds: gossip addresses to contact while their nodes are unknown, from the
+    /// settings or from the platform's objects.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.seeds = seeds;
-        self.asks_seeds = true;
+        self.seeds_changed = true;
     }
 
-    /// This node's own record.
+    /// Returns this node's own record.
     pub fn own(&self) -> &Member {
         &self.own
     }
 
-    /// Generation that this node tells others it has in force.
+    /// Returns the active generation that this node announces.
     pub fn generation(&self) -> Generation {
         self.generation
     }
 
-    /// Whether a whole table was read from a peer, or nobody answered at all.
+    /// Returns whether a whole table was read from a peer, or nobody answered in time.
     pub fn is_joined(&self) -> bool {
         self.joined
     }
 
-    /// All others that are known, dead and left ones too.
+    /// Returns all other known nodes, including those that are dead or have left.
     pub fn peers(&self) -> Vec<Peer> {
         let peer = |(_, entry): (&String, &Entry)| Peer {
             member: entry.member.clone(),
@@ -170,7 +170,7 @@
         self.table.entries().map(peer).collect()
     }
 
-    /// One other node, if it is known.
+    /// Returns another node, if it is known.
     pub fn peer(&self, node_id: &str) -> Option<Peer> {
         let entry = self.table.get(node_id)?;
         Some(Peer {
@@ -179,8 +179,8 @@
         })
     }
 
-    /// Says something new of this node. News of leaving goes to several peers
-    /// at once; everything else rides on the next datagrams.
+    /// Updates this node's own record. That it leaves is sent to several peers at once; everything
+    /// else is piggybacked on the next datagrams.
     pub fn update_own(
         &mut self,
         publication: PublishedState,
@@ -194,14 +194,15 @@
         let mut actions = Vec::new();
         let is_left = publication.state == NodeState::Left;
         if is_left || (record::is_leaving(&self.own) && !was_leaving) {
-            self.tell_at_once(vec![self.own.clone()], &mut actions, rng);
+            self.send_urgent_update(vec![self.own.clone()], &mut actions, rng);
         }
         actions
     }
 
-    /// Tells others the epoch that this node's tickets are issued in, and whose
-    /// tickets it has taken over. A succession is told at once: until it is
-    /// known, re-sends of the old home's calls find nobody.
+    /// Updates the epoch of this node's new tickets, and the homes whose tickets it has adopted.
+    ///
+    /// A new succession is sent at once: until others know it, re-sent calls of the old home find
+    /// no home.
     pub fn update_tickets(
         &mut self,
         epoch: u64,
@@ -209,22 +210,21 @@
         rng: &mut impl Rng,
     ) -> Vec<MembershipAction> {
         let mut actions = Vec::new();
-        let has_taken_over = self.own.successions != successions;
-        if self.own.ticket_epoch == epoch && !has_taken_over {
+        let has_new_succession = self.own.successions != successions;
+        if self.own.ticket_epoch == epoch && !has_new_succession {
             return actions;
         }
         self.own.ticket_epoch = epoch;
         self.own.successions = successions;
         self.raise_own_version();
-        if has_taken_over {
-            self.tell_at_once(vec![self.own.clone()], &mut actions, rng);
+        if has_new_succession {
+            self.send_urgent_update(vec![self.own.clone()], &mut actions, rng);
         }
         actions
     }
 
-    /// Takes note of the generation in force here and tells several peers at
-    /// once. Without that a change would take a probe period for each doubling
-    /// of the nodes that have it.
+    /// Updates the active generation and announces it to several peers at once. Otherwise each
+    /// doubling of the number of nodes that know of a change would take a probe period.
     pub fn set_generation(
         &mut self,
         generation: Generation,
@@ -233,22 +233,26 @@
         let mut actions = Vec::new();
         if generation > self.generation {
             self.generation = generation;
-            self.tell_at_once(Vec::new(), &mut actions, rng);
+            self.send_urgent_update(Vec::new(), &mut actions, rng);
         }
         actions
     }
 
-    /// Tells the other nodes of this service about requests that crash
-    /// upstreams: they run the same ones next. A service is small, whatever
-    /// the fleet's size; the limit holds if it is not.
+    /// Reports requests that crash upstreams to the other nodes of this service, which would
+    /// otherwise run them next. A service has few nodes, whatever the size of the fleet; the limit
+    /// is for services that have many.
     pub fn send_suspects(&mut self, suspects: &[SuspectRequest]) -> Vec<MembershipAction> {
-        const TOLD_LIMIT: usize = 32;
+        const RECIPIENTS_LIMIT: usize = 32;
         const SUSPECTS_LIMIT: usize = 16;
-        let is_told = |entry: &&Entry| entry.member.service == self.own.service;
-        let told = self.table.live().map(|(_, entry)| entry).filter(is_told);
-        let addresses: Vec<SocketAddr> = told.filter_map(|entry| entry.address).collect();
-        let told = addresses.into_iter().take(TOLD_LIMIT);
-        let sends = told.map(|to| {
+        let is_same_service = |entry: &&Entry| entry.member.service == self.own.service;
+        let entries = self
+            .table
+            .live()
+            .map(|(_, entry)| entry)
+            .filter(is_same_service);
+        let addresses: Vec<SocketAddr> = entries.filter_map(|entry| entry.address).collect();
+        let recipients = addresses.into_iter().take(RECIPIENTS_LIMIT);
+        let sends = recipients.map(|to| {
             let mut gossip = self.empty_datagram(None);
             gossip.suspects = suspects.iter().copied().take(SUSPECTS_LIMIT).collect();
             MembershipAction::Send {
@@ -261,7 +265,7 @@
 
     pub(super) fn raise_own_version(&mut self) {
         self.own.version = self.own.version.saturating_add(1);
-        self.news.push(&self.own.node_id);
+        self.gossip_queue.push(&self.own.node_id);
     }
 
     pub(super) fn digest(&self) -> u64 {
--- a/crates/hemlocktack-fleet/src/membership/mod.rs
+++ b/crates/hemlocktack-fleet/src/membership/mod.rs
@@ -1,5 +1,7 @@
-//! Which nodes there are and in what state: a hint that nodes spread among
-//! themselves by small probes, with no work that grows with the fleet.
+//! Membership by gossip: which nodes exist and in what state.
+//!
+//! The information is a hint that nodes exchange with small probes. The cost per node does not grow
+//! with the size of the fleet.
 
 mod datagram;
 mod gossip_queue;
--- a/crates/hemlocktack-fleet/src/membership/outgoing.rs
+++ b/crates/hemlocktack-fleet/src/membership/outgoing.rs
@@ -1,17 +1,16 @@
-//! Datagrams that a node sends, filled within their limit.
+//! Datagrams that a node sends, within their size limit.
 
 use std::net::SocketAddr;
 
 use hemlocktack_protocol::{Gossip, Member, gossip};
 use prost::Message;
 
-use super::gossip_queue::tellings_limit;
+use super::gossip_queue::transmission_limit;
 use super::machine::{Membership, MembershipAction};
 use super::settings::MembershipSafeguard;
 
 impl Membership {
-    /// Adds a datagram: first the given records, then as much other news as
-    /// fits.
+    /// Adds a datagram with the given records, and then as many queued records as fit.
     pub(super) fn send(
         &mut self,
         to: SocketAddr,
@@ -19,14 +18,14 @@
         first: &[Member],
         actions: &mut Vec<MembershipAction>,
     ) {
-        let (mut gossip, room) = self.datagram(body, first);
-        self.fill_with_news(&mut gossip, room);
+        let (mut gossip, bytes_left) = self.datagram(body, first);
+        self.fill_with_queued(&mut gossip, bytes_left);
         let gossip = Box::new(gossip);
         actions.push(MembershipAction::Send { to, gossip });
     }
 
-    /// Adds a datagram with nothing but the given records.
-    pub(super) fn send_without_news(
+    /// Adds a datagram with the given records only.
+    pub(super) fn send_without_queued(
         &mut self,
         to: SocketAddr,
         body: Option<gossip::Body>,
@@ -38,16 +37,16 @@
         actions.push(MembershipAction::Send { to, gossip });
     }
 
-    /// A datagram with the given records, and the room that is left in it.
+    /// Returns a datagram with the given records, and the number of bytes left in it.
     fn datagram(&self, body: Option<gossip::Body>, first: &[Member]) -> (Gossip, usize) {
         let mut gossip = self.empty_datagram(body);
-        let mut room = self.room_in(&gossip);
+        let mut bytes_left = self.bytes_left_in(&gossip);
         for record in first {
-            if !put_record(&mut gossip, &mut room, record.clone()) {
+            if !try_add_record(&mut gossip, &mut bytes_left, record.clone()) {
                 break;
             }
         }
-        (gossip, room)
+        (gossip, bytes_left)
     }
 
     pub(super) fn empty_datagram(&self, body: Option<gossip::Body>) -> Gossip {
@@ -62,56 +61,57 @@
         }
     }
 
-    pub(super) fn room_in(&self, gossip: &Gossip) -> usize {
+    pub(super) fn bytes_left_in(&self, gossip: &Gossip) -> usize {
         let limit = self.settings.datagram_limit_bytes;
         limit.saturating_sub(self.settings.mac_bytes + gossip.encoded_len())
     }
 
-    fn fill_with_news(&mut self, gossip: &mut Gossip, mut room: usize) {
-        let limit = tellings_limit(self.table.count() + 1);
-        for node_id in self.news.pending() {
+    fn fill_with_queued(&mut self, gossip: &mut Gossip, mut bytes_left: usize) {
+        let limit = transmission_limit(self.table.count() + 1);
+        for node_id in self.gossip_queue.pending() {
             let already_in = gossip
                 .members
                 .iter()
                 .any(|record| record.node_id == node_id);
-            let Some(record) = self.fresh_belief(&node_id) else {
-                self.news.told(&node_id, 0);
+            let Some(record) = self.record_to_send(&node_id) else {
+                self.gossip_queue.record_sent(&node_id, 0);
                 continue;
             };
             if already_in {
                 continue;
             }
-            if !put_record(gossip, &mut room, record) {
+            if !try_add_record(gossip, &mut bytes_left, record) {
                 return;
             }
-            self.news.told(&node_id, limit);
+            self.gossip_queue.record_sent(&node_id, limit);
         }
     }
 
-    /// What to tell others of a member; `None` for an accusation that is too
-    /// old. A node that was cut off for a while holds all others for dead. Were
-    /// it to tell that when it is back, the fleet would doubt itself for a
-    /// while; by then its accusations are past their age.
-    fn fresh_belief(&self, node_id: &str) -> Option<Member> {
+    /// Returns the record to send about a member; `None` for an accusation that is too old.
+    ///
+    /// A node that was partitioned for a while considers all others dead. If it sent that once it
+    /// is back, the members of the fleet would suspect each other for a while. By then its
+    /// accusations have expired.
+    fn record_to_send(&self, node_id: &str) -> Option<Member> {
         if node_id == self.own.node_id {
             return Some(self.own.clone());
         }
         let entry = self.table.get(node_id)?;
         let age = self.now.saturating_duration_since(entry.since);
         let is_old = entry.is_accused() && age >= self.suspicion_timeout();
-        let keeps = self.settings.keeps(MembershipSafeguard::AccusationAge);
-        (!is_old || !keeps).then(|| entry.belief())
+        let drops_old = self.settings.is_enabled(MembershipSafeguard::AccusationAge);
+        (!is_old || !drops_old).then(|| entry.gossip_record())
     }
 }
 
-/// Puts a record into a datagram if there is room for it.
-pub(super) fn put_record(gossip: &mut Gossip, room: &mut usize, record: Member) -> bool {
+/// Adds a record to a datagram if it fits; returns whether it did.
+pub(super) fn try_add_record(gossip: &mut Gossip, bytes_left: &mut usize, record: Member) -> bool {
     let length = record.encoded_len();
     let needed = 1 + prost::length_delimiter_len(length) + length;
-    if needed > *room {
+    if needed > *bytes_left {
         return false;
     }
-    *room -= needed;
+    *bytes_left -= needed;
     gossip.members.push(record);
     true
 }
--- a/crates/hemlocktack-fleet/src/membership/probes.rs
+++ b/crates/hemlocktack-fleet/src/membership/probes.rs
@@ -1,4 +1,4 @@
-//! Whom to probe, and the probes that wait for an answer.
+//! Selection of members to probe, and outstanding probes.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -9,28 +9,28 @@
 
 use super::table::{Entry, Table};
 
-/// The one probe of this period.
+/// The probe of this period, which waits for an answer.
 pub(crate) struct Pending {
     pub(crate) sequence: u64,
     pub(crate) node_id: String,
     pub(crate) incarnation: Incarnation,
     pub(crate) sent: Instant,
-    pub(crate) asked_others: bool,
+    pub(crate) sent_indirect: bool,
 }
 
-/// A probe made for another node.
+/// A probe on behalf of another node.
 pub(crate) struct Relayed {
     pub(crate) sequence: u64,
-    pub(crate) asker: SocketAddr,
-    pub(crate) asker_sequence: u64,
+    pub(crate) requester: SocketAddr,
+    pub(crate) requester_sequence: u64,
     pub(crate) target: String,
 }
 
-/// Order of probing and what is outstanding.
+/// Order of probing, and outstanding probes.
 #[derive(Default)]
 pub(crate) struct Probes {
-    near: Vec<String>,
-    far: Vec<String>,
+    local: Vec<String>,
+    remote: Vec<String>,
     gone: Vec<String>,
     count: u32,
     sequence: u64,
@@ -44,31 +44,37 @@
         self.sequence
     }
 
-    /// Next member in a shuffled round, so that each is reached within a
-    /// bounded time. Most probes stay within the data centre; a fixed share
-    /// goes across, whatever the fleet's size.
+    /// Returns the next member of a shuffled round, so that each is probed within a bounded time.
+    ///
+    /// Most probes stay within the data centre. A fixed share goes to other data centres, whatever
+    /// the size of the fleet.
     pub(crate) fn next_target(
         &mut self,
         table: &Table,
         data_centre: &str,
-        far_interval: u32,
+        remote_interval: u32,
         rng: &mut impl Rng,
     ) -> Option<String> {
         self.count = self.count.wrapping_add(1);
-        let far_first = self.count.is_multiple_of(far_interval);
-        for far in [far_first, !far_first] {
-            let round = if far { &mut self.far } else { &mut self.near };
-            if let Some(target) = next_of_round(round, table, data_centre, far, rng) {
+        let remote_first = self.count.is_multiple_of(remote_interval);
+        for remote in [remote_first, !remote_first] {
+            let round = if remote {
+                &mut self.remote
+            } else {
+                &mut self.local
+            };
+            if let Some(target) = next_of_round(round, table, data_centre, remote, rng) {
                 return Some(target);
             }
         }
         None
     }
 
-    /// Next dead or left member to try again, in a shuffled round: tried at
-    /// random, a member that is back could wait long behind those that are gone
-    /// for good. A left one too: its place may have a new start that knows
-    /// nobody here, and nobody here would know it.
+    /// Returns the next dead or left member to retry, from a shuffled round. With a random choice a
+    /// member that is back could wait long behind those that are gone permanently.
+    ///
+    /// Left members are retried too: a new incarnation may run at the same address, and neither it
+    /// nor the nodes here would know of each other.
     pub(crate) fn next_gone(&mut self, table: &Table, rng: &mut impl Rng) -> Option<String> {
         let is_gone = |entry: &Entry| !entry.is_live();
         while let Some(node_id) = self.gone.pop() {
@@ -90,11 +96,11 @@
         self.relayed.push(relayed);
     }
 
-    /// The probe that this answers.
+    /// Removes and returns the relayed probe that an ack answers.
     ///
-    /// Failure: a node is gone, and its address is another's now. Symptom: that one
-    /// answers, helpers vouch for the node that is gone, and calls are placed on it
-    /// for ever. Only a node's own name vouches for it.
+    /// The ack must carry the node id of the target. If a node is gone and another node now uses
+    /// its address, that one answers the probe; accepting its ack would keep the gone node alive,
+    /// and calls would be sent to it forever.
     pub(crate) fn take_relayed(&mut self, ack: &ProbeAck) -> Option<Relayed> {
         let position = self.relayed.iter().position(|relayed| {
             relayed.sequence == ack.sequence && relayed.target == ack.of_node_id
@@ -107,18 +113,18 @@
     round: &mut Vec<String>,
     table: &Table,
     data_centre: &str,
-    far: bool,
+    remote: bool,
     rng: &mut impl Rng,
 ) -> Option<String> {
-    let is_wanted = |node_id: &String| table.get(node_id).is_some_and(|entry| entry.is_live());
+    let is_live = |node_id: &String| table.get(node_id).is_some_and(|entry| entry.is_live());
     while let Some(node_id) = round.pop() {
-        if is_wanted(&node_id) {
+        if is_live(&node_id) {
             return Some(node_id);
         }
     }
     *round = table
         .live()
-        .filter(|(_, entry)| (entry.member.data_centre != data_centre) == far)
+        .filter(|(_, entry)| (entry.member.data_centre != data_centre) == remote)
         .map(|(node_id, _)| node_id.clone())
         .collect();
     round.shuffle(rng);
--- a/crates/hemlocktack-fleet/src/membership/receive.rs
+++ b/crates/hemlocktack-fleet/src/membership/receive.rs
@@ -1,4 +1,4 @@
-//! What a datagram from another node changes.
+//! Handling of datagrams from other nodes.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -8,18 +8,18 @@
 };
 use rand::Rng;
 
-use super::machine::{Membership, MembershipAction, Sweep};
-use super::outgoing::put_record;
+use super::machine::{Membership, MembershipAction, TableSync};
+use super::outgoing::try_add_record;
 use super::probes::Relayed;
 use super::record::{self, Freshness};
 use super::settings::{MembershipSafeguard, NODE_ID_LIMIT_BYTES};
 use super::table::Merged;
 
-/// Tables that a starting node reads, each of another member.
+/// Number of tables that a starting node reads, each from another member.
 const TABLES_READ: usize = 2;
 
 impl Membership {
-    /// Takes in a datagram whose MAC was found right.
+    /// Handles a datagram whose MAC has been verified.
     pub fn receive(
         &mut self,
         now: Instant,
@@ -37,8 +37,8 @@
         let mut corrections = Vec::new();
         let records = std::mem::take(&mut gossip.members);
         let is_page = matches!(gossip.body, Some(gossip::Body::SyncPage(_)));
-        self.take_in(now, records, is_page, &mut corrections, &mut actions, rng);
-        self.hear_generation(&gossip, &mut actions);
+        self.merge_records(now, records, is_page, &mut corrections, &mut actions, rng);
+        self.check_generation(&gossip, &mut actions);
         if !gossip.suspects.is_empty() {
             let suspects = std::mem::take(&mut gossip.suspects);
             actions.push(MembershipAction::SuspectsReceived { suspects });
@@ -49,10 +49,11 @@
         actions
     }
 
-    /// Merges records and passes on what is new; not what a page brought, which
-    /// the giver knew already: a starting node would tell the whole fleet about
-    /// the whole fleet.
-    fn take_in(
+    /// Merges records, and queues new ones for dissemination.
+    ///
+    /// Records from a table page are not queued, because other nodes already know them: a starting
+    /// node would send the records of the whole fleet to the whole fleet.
+    fn merge_records(
         &mut self,
         now: Instant,
         records: Vec<Member>,
@@ -65,18 +66,18 @@
         let mut changed = false;
         for record in records {
             if record.node_id == self.own.node_id {
-                self.hear_of_own(record, corrections, actions);
+                self.handle_record_of_self(record, corrections, actions);
                 continue;
             }
             let node_id = record.node_id.clone();
             let merged = self.table.merge(now, record.clone());
             if merged == Merged::Stale {
-                corrections.extend(self.table.word_of_leaving(&record));
+                corrections.extend(self.table.departure_record(&record));
                 continue;
             }
             changed = true;
             if !is_page {
-                self.news.push(&node_id);
+                self.gossip_queue.push(&node_id);
             }
             if merged == Merged::BeganLeaving && !is_page {
                 urgent.push(record);
@@ -86,19 +87,21 @@
             actions.push(MembershipAction::MembersChanged);
         }
         if !urgent.is_empty() {
-            self.pass_on_at_once(urgent, actions, rng);
+            self.forward_urgent_update(urgent, actions, rng);
         }
     }
 
-    /// Answers what others say of this node.
+    /// Handles a record of this node that another node sent.
+    ///
+    /// An accusation is refuted with a higher version. A record of another incarnation with this
+    /// node's id that ranks above this one has one of two causes:
+    /// - an earlier incarnation whose clock was ahead: this incarnation then ranks itself above it;
+    /// - a replacement at another address, started while this process was paused: this incarnation
+    ///   then gives way.
     ///
-    /// An accusation is refuted by a higher version. A record of another start
-    /// of this node's id that ranks above this one is either an earlier start
-    /// whose clock ran ahead (then this start ranks itself above it), or a
-    /// replacement elsewhere while this process was paused (then this one
-    /// yields). The address tells them apart: an earlier start at this very
-    /// address cannot be running.
-    fn hear_of_own(
+    /// The address distinguishes them, because an earlier incarnation at this node's own address
+    /// cannot still be running.
+    fn handle_record_of_self(
         &mut self,
         heard: Member,
         corrections: &mut Vec<Member>,
@@ -108,7 +111,7 @@
         let is_accusation = record::is_accusation(&heard);
         if Freshness::of(&heard) <= Freshness::of(&self.own) {
             if !same_start {
-                self.news.push(&self.own.node_id);
+                self.gossip_queue.push(&self.own.node_id);
             }
             if !same_start || is_accusation {
                 corrections.push(self.own.clone());
@@ -119,7 +122,7 @@
             self.refute(&heard, corrections);
             return;
         }
-        if !self.settings.keeps(MembershipSafeguard::StartOrder) {
+        if !self.settings.is_enabled(MembershipSafeguard::StartOrder) {
             return;
         }
         let is_elsewhere = !is_accusation && heard.gossip_address != self.own.gossip_address;
@@ -136,7 +139,7 @@
     }
 
     fn refute(&mut self, heard: &Member, corrections: &mut Vec<Member>) {
-        if !self.settings.keeps(MembershipSafeguard::Refutation) {
+        if !self.settings.is_enabled(MembershipSafeguard::Refutation) {
             return;
         }
         self.own.version = heard.version;
@@ -144,7 +147,7 @@
         corrections.push(self.own.clone());
     }
 
-    fn hear_generation(&self, gossip: &Gossip, actions: &mut Vec<MembershipAction>) {
+    fn check_generation(&self, gossip: &Gossip, actions: &mut Vec<MembershipAction>) {
         if gossip.generation_in_force > self.generation {
             actions.push(MembershipAction::NewerGenerationSeen {
                 node_id: gossip.from_node_id.clone(),
@@ -153,11 +156,12 @@
         }
     }
 
-    /// Tells a sender that is known otherwise what is believed of it, so that
-    /// it can refute: after a cut both sides hold each other for dead.
+    /// Sends this node's view of the sender back to it if that view is an accusation or another
+    /// incarnation, so that the sender can refute it: after a network partition both sides consider
+    /// each other dead.
     ///
-    /// Never in answer to such a correction: two nodes that hold each other
-    /// for dead would go on correcting each other without a pause.
+    /// Datagrams without a body, which carry such corrections, are not corrected. Two nodes that
+    /// consider each other dead would otherwise correct each other in an endless loop.
     fn correct_sender(&mut self, gossip: &Gossip, corrections: &mut Vec<Member>) {
         if gossip.body.is_none() {
             return;
@@ -166,24 +170,24 @@
             return;
         };
         if entry.is_accused() || entry.member.incarnation != gossip.from_incarnation {
-            corrections.push(entry.belief());
+            corrections.push(entry.gossip_record());
         }
     }
 
-    /// Begins a comparison with a sender whose table differs: with the first
-    /// page at once where none was pulled lately, since a node that comes back
-    /// from a cut has to learn soon who has left meanwhile.
+    /// Starts to synchronise with a sender whose table differs. The first page is pulled at once
+    /// unless one was pulled recently, since a node that was partitioned must soon learn who has
+    /// left in the meantime.
     fn compare_digest(
         &mut self,
         from: SocketAddr,
         gossip: &Gossip,
         actions: &mut Vec<MembershipAction>,
     ) {
-        let wanted = self.settings.keeps(MembershipSafeguard::AntiEntropy);
-        if !wanted || self.sweep.is_some() || gossip.table_digest == self.digest() {
+        let may_sync = self.settings.is_enabled(MembershipSafeguard::AntiEntropy);
+        if !may_sync || self.table_sync.is_some() || gossip.table_digest == self.digest() {
             return;
         }
-        self.sweep = Some(Sweep {
+        self.table_sync = Some(TableSync {
             peer: from,
             cursor: String::new(),
         });
@@ -210,12 +214,14 @@
                 return;
             }
             Some(gossip::Body::SyncPull(pull)) => {
-                self.give_page(from, &pull, &corrections, actions);
+                self.send_page(from, &pull, &corrections, actions);
                 return;
             }
-            Some(gossip::Body::Ack(ack)) => self.take_ack(&ack, actions),
-            Some(gossip::Body::IndirectProbe(probe)) => self.probe_for(from, probe, actions),
-            Some(gossip::Body::SyncPage(page)) => self.take_page(from, page, actions),
+            Some(gossip::Body::Ack(ack)) => self.handle_ack(&ack, actions),
+            Some(gossip::Body::IndirectProbe(probe)) => {
+                self.handle_indirect_probe(from, probe, actions)
+            }
+            Some(gossip::Body::SyncPage(page)) => self.handle_page(from, page, actions),
             None => {}
         }
         if !corrections.is_empty() {
@@ -223,7 +229,7 @@
         }
     }
 
-    fn take_ack(&mut self, ack: &ProbeAck, actions: &mut Vec<MembershipAction>) {
+    fn handle_ack(&mut self, ack: &ProbeAck, actions: &mut Vec<MembershipAction>) {
         let pending = self.probes.pending.as_ref();
         let is_answer = pending.is_some_and(|pending| {
             pending.sequence == ack.sequence && pending.node_id == ack.of_node_id
@@ -236,15 +242,20 @@
             return;
         };
         let ack = ProbeAck {
-            sequence: relayed.asker_sequence,
+            sequence: relayed.requester_sequence,
             of_node_id: relayed.target,
         };
-        self.send(relayed.asker, Some(gossip::Body::Ack(ack)), &[], actions);
+        self.send(
+            relayed.requester,
+            Some(gossip::Body::Ack(ack)),
+            &[],
+            actions,
+        );
     }
 
-    fn probe_for(
+    fn handle_indirect_probe(
         &mut self,
-        asker: SocketAddr,
+        requester: SocketAddr,
         asked: IndirectProbe,
         actions: &mut Vec<MembershipAction>,
     ) {
@@ -257,8 +268,8 @@
         let sequence = self.probes.next_sequence();
         self.probes.relay(Relayed {
             sequence,
-            asker,
-            asker_sequence: asked.sequence,
+            requester,
+            requester_sequence: asked.sequence,
             target: asked.target_node_id,
         });
         let probe = Probe {
@@ -268,37 +279,40 @@
         self.send(address, Some(gossip::Body::Probe(probe)), &[], actions);
     }
 
-    /// Gives one page of this node's table, its own record on each, and only
-    /// what members said of themselves. Those that may be down are left out: a
-    /// joining node would hold them for sound until it has probed them itself.
-    /// If they are up, they say so to everybody. A bounded number in a period: joining
-    /// nodes wait a little rather than load one.
-    fn give_page(
+    /// Sends one page of this node's table. Each page also has this node's own record.
+    ///
+    /// Pages contain only records that members published themselves. Accused members are left out,
+    /// because a joining node would consider them healthy until it has probed them itself; if they
+    /// are up, they refute the accusation to everybody. The number of pages per period is limited:
+    /// joining nodes rather wait a little than overload one node.
+    fn send_page(
         &mut self,
         from: SocketAddr,
         pull: &SyncPull,
         corrections: &[Member],
         actions: &mut Vec<MembershipAction>,
     ) {
-        if self.pages_given >= self.settings.page_limit {
+        if self.pages_sent >= self.settings.page_limit {
             return;
         }
-        self.pages_given += 1;
-        let full = SyncPage {
+        self.pages_sent += 1;
+        let empty_page = SyncPage {
             after_node_id: pull.after_node_id.clone(),
             last_node_id: pull.after_node_id.clone(),
             complete: true,
         };
-        let mut gossip = self.empty_datagram(Some(gossip::Body::SyncPage(full.clone())));
-        let mut room = self.room_in(&gossip).saturating_sub(NODE_ID_LIMIT_BYTES);
+        let mut gossip = self.empty_datagram(Some(gossip::Body::SyncPage(empty_page.clone())));
+        let mut bytes_left = self
+            .bytes_left_in(&gossip)
+            .saturating_sub(NODE_ID_LIMIT_BYTES);
         let first = corrections.iter().chain([&self.own]);
         for record in first {
-            put_record(&mut gossip, &mut room, record.clone());
+            try_add_record(&mut gossip, &mut bytes_left, record.clone());
         }
-        let mut page = full;
+        let mut page = empty_page;
         for (node_id, entry) in self.table.after(&pull.after_node_id) {
-            let is_told = !entry.is_accused();
-            if is_told && !put_record(&mut gossip, &mut room, entry.member.clone()) {
+            let is_included = !entry.is_accused();
+            if is_included && !try_add_record(&mut gossip, &mut bytes_left, entry.member.clone()) {
                 page.complete = false;
                 break;
             }
@@ -309,41 +323,48 @@
         actions.push(MembershipAction::Send { to: from, gossip });
     }
 
-    /// Failure: a node starts between cuts, and the one whose table it reads had
-    /// not heard yet that others left. Symptom: seconds after all faults have
-    /// ended it still places calls on them. Whoever has heard passes the news on
-    /// for a few periods only, so a second table is read, of another member.
-    fn take_page(&mut self, from: SocketAddr, page: SyncPage, actions: &mut Vec<MembershipAction>) {
-        let Some(sweep) = &mut self.sweep else {
+    /// Handles one page of a peer's table.
+    ///
+    /// A starting node reads the tables of two members, because the first one may not know yet that
+    /// other members have left, and those who know it disseminate it for a few periods only.
+    /// Otherwise a node that starts between network partitions would send calls to them even
+    /// seconds after the last fault.
+    fn handle_page(
+        &mut self,
+        from: SocketAddr,
+        page: SyncPage,
+        actions: &mut Vec<MembershipAction>,
+    ) {
+        let Some(table_sync) = &mut self.table_sync else {
             return;
         };
-        if sweep.peer != from || sweep.cursor != page.after_node_id {
+        if table_sync.peer != from || table_sync.cursor != page.after_node_id {
             return;
         }
         let made_no_progress = page.last_node_id == page.after_node_id;
         if page.complete || made_no_progress {
-            self.sweep = None;
+            self.table_sync = None;
             self.joined = true;
-            self.read_from.push(from);
-            if self.read_from.len() >= TABLES_READ {
-                self.reading_since = None;
+            self.tables_read_from.push(from);
+            if self.tables_read_from.len() >= TABLES_READ {
+                self.full_read_since = None;
             }
             return;
         }
-        sweep.cursor = page.last_node_id;
-        if self.reading_since.is_some() {
+        table_sync.cursor = page.last_node_id;
+        if self.full_read_since.is_some() {
             self.pull_page(actions);
         }
     }
 
     pub(super) fn pull_page(&mut self, actions: &mut Vec<MembershipAction>) {
-        let Some(sweep) = &self.sweep else {
+        let Some(table_sync) = &self.table_sync else {
             return;
         };
-        let to = sweep.peer;
-        self.pulled = self.now;
+        let to = table_sync.peer;
+        self.last_pull = self.now;
         let pull = SyncPull {
-            after_node_id: sweep.cursor.clone(),
+            after_node_id: table_sync.cursor.clone(),
         };
         let own = self.own.clone();
         self.send(to, Some(gossip::Body::SyncPull(pull)), &[own], actions);
--- a/crates/hemlocktack-fleet/src/membership/record.rs
+++ b/crates/hemlocktack-fleet/src/membership/record.rs
@@ -1,12 +1,12 @@
-//! Which of two records of one node is the fresher.
+//! Order of the records of one node by freshness.
 
 use hemlocktack_protocol::{Incarnation, Member, NodeState, UpstreamState};
 
-/// Total order of the records of one node id, so that merging gives the same
-/// table whatever order news arrives in.
+/// Freshness of a record: a total order of the records of one node id, so that merging gives the
+/// same table in whatever order records arrive.
 ///
-/// Only the owner raises `start_order` and `version`; a suspicion or a death
-/// outranks the very version it accuses, and nothing later.
+/// Only the node itself raises `start_order` and `version`. A suspicion or death outranks the
+/// version that it accuses, but no later one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Freshness {
     pub(crate) start_order: u64,
@@ -38,12 +38,12 @@
     }
 }
 
-/// Whether a record is another node's accusation and not the owner's own word.
+/// Returns whether a record is an accusation by another node, and not published by the node itself.
 pub(crate) fn is_accusation(record: &Member) -> bool {
     severity(record.state()) > 0
 }
 
-/// Short record that accuses one version of a member.
+/// Returns a short record that accuses one version of a member.
 pub(crate) fn accusation(member: &Member) -> Member {
     Member {
         node_id: member.node_id.clone(),
@@ -55,7 +55,7 @@
     }
 }
 
-/// Whether new work goes to a node that says this of itself.
+/// Returns whether a node with this record is leaving, so that it gets no new calls.
 pub(crate) fn is_leaving(record: &Member) -> bool {
     matches!(record.state(), NodeState::Draining | NodeState::Left)
         || record.upstream() == UpstreamState::Draining
--- a/crates/hemlocktack-fleet/src/membership/settings.rs
+++ b/crates/hemlocktack-fleet/src/membership/settings.rs
@@ -1,73 +1,75 @@
-//! Periods and bounds of membership.
+//! Settings of membership.
 
 use std::time::Duration;
 
 use strum::{Display, EnumIter, EnumString};
 
-/// Longest id of a node: a datagram may carry two of them beside its records.
+/// Maximum length of a node id. A datagram may contain two ids in addition to its records.
 pub const NODE_ID_LIMIT_BYTES: usize = 128;
 
-/// A rule that a mutation run switches off, to show that the run notices.
-/// A node never does.
+/// A safeguard that a mutation test disables, to show that the randomised runs detect its absence.
+/// A node never disables one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, EnumIter, EnumString)]
 #[strum(serialize_all = "kebab-case")]
 pub enum MembershipSafeguard {
-    /// Ask others before a silent member is suspected.
+    /// Other members probe a silent member before it is suspected.
     IndirectProbes,
-    /// A suspected member may answer with a higher version.
+    /// A suspected member refutes the suspicion with a higher version.
     Refutation,
-    /// Old accusations are not passed on.
+    /// Old accusations are not disseminated.
     AccusationAge,
-    /// A node that was paused itself accuses nobody.
+    /// A node that was itself paused accuses no other node.
     OwnPause,
-    /// A node that was paused itself reads the whole table at once.
+    /// A node that was itself paused reads a whole table at once.
     ReadAfterPause,
-    /// Left and dead records are kept, so that old news does not revive them.
+    /// Records of left and dead members are kept as tombstones, so that old updates do not revive
+    /// them.
     Tombstones,
-    /// Dead members are tried again now and then.
+    /// Dead members are probed again from time to time.
     DeadRetry,
-    /// Tables that differ are compared page by page.
+    /// Tables that differ are synchronised page by page.
     AntiEntropy,
-    /// A drain is told at once.
+    /// A drain is announced at once.
     UrgentNews,
-    /// A new start ranks above every earlier one of its node id.
+    /// A new incarnation ranks above every earlier one with its node id.
     StartOrder,
 }
 
-/// Periods and bounds of membership. The defaults hold the cost of one node
-/// constant in the size of the fleet.
+/// Intervals, timeouts and limits of membership.
+///
+/// With the defaults the cost per node does not depend on the size of the fleet.
 #[derive(Clone, Debug)]
 pub struct MembershipSettings {
-    /// One member is probed in each period.
+    /// Interval between probes; one member is probed in each period.
     pub probe_period: Duration,
-    /// Wait for a direct answer before others are asked.
+    /// Time to wait for a direct answer before other members are asked to probe.
     pub direct_timeout: Duration,
-    /// Members asked to probe a silent one.
+    /// Number of members that are asked to probe a silent one.
     pub indirect_probes: usize,
-    /// Every so many probes, one goes to another data centre.
-    pub far_probe_interval: u32,
-    /// Probe periods that a suspected member has to refute, at least.
+    /// One in this many probes goes to another data centre.
+    pub remote_probe_interval: u32,
+    /// Minimum number of probe periods that a suspected member has to refute.
     pub suspicion_periods: u32,
-    /// How long left and dead records are kept.
+    /// Time for which records of left and dead members are kept.
     pub tombstone_age: Duration,
-    /// Left and dead records kept at most.
+    /// Maximum number of records of left and dead members that are kept.
     pub tombstone_limit: usize,
-    /// One dead member, or a seed where nobody is known, is tried each period.
+    /// Interval between retries, each of one dead or left member and one unknown seed.
     pub dead_retry_period: Duration,
-    /// One page is pulled each period while tables differ.
+    /// Interval between pulls of a page while tables differ.
     pub sync_period: Duration,
-    /// Pages that a node gives away in a probe period.
+    /// Maximum number of pages that a node sends in a probe period.
     pub page_limit: u32,
-    /// Whole datagram with its MAC; under the smallest usual MTU.
+    /// Maximum size of a datagram with its MAC; below the smallest common MTU.
     pub datagram_limit_bytes: usize,
-    /// Bytes that the MAC behind each datagram takes.
+    /// Length of the MAC at the end of each datagram.
     pub mac_bytes: usize,
-    /// Members that a receiver of urgent news tells at once; its owner tells
-    /// half as many in its data centre and one in each other.
+    /// Number of members to which the recipient of an urgent update forwards it at once. The node
+    /// that it is about sends it to half as many in its own data centre, and to one in each other.
     pub urgent_fanout: usize,
-    /// Datagrams of urgent news in one probe period, at most.
+    /// Maximum number of datagrams with urgent updates in a probe period.
     pub urgent_limit: u32,
-    /// Rule that a mutation run leaves out.
+    /// Safeguard that a mutation test disables.
     pub disabled_safeguard: Option<MembershipSafeguard>,
 }
 
@@ -77,7 +79,7 @@
             probe_period: Duration::from_secs(1),
             direct_timeout: Duration::from_millis(300),
             indirect_probes: 3,
-            far_probe_interval: 4,
+            remote_probe_interval: 4,
             suspicion_periods: 3,
             tombstone_age: Duration::from_secs(2 * 60 * 60),
             tombstone_limit: 1_024,
@@ -94,7 +96,7 @@
 }
 
 impl MembershipSettings {
-    pub(crate) fn keeps(&self, safeguard: MembershipSafeguard) -> bool {
+    pub(crate) fn is_enabled(&self, safeguard: MembershipSafeguard) -> bool {
         self.disabled_safeguard != Some(safeguard)
     }
 }
--- a/crates/hemlocktack-fleet/src/membership/table.rs
+++ b/crates/hemlocktack-fleet/src/membership/table.rs
@@ -1,4 +1,4 @@
-//! Records of all other members.
+//! Table of the records of all other members.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,12 +10,12 @@
 use super::record::{self, Freshness};
 use hemlocktack_protocol::stable_hash;
 
-/// What is known of one other member.
+/// Entry of one other member.
 #[derive(Clone, Debug)]
 pub(crate) struct Entry {
-    /// The owner's own last word.
+    /// The latest record published by the member itself.
     pub(crate) member: Member,
-    /// `Suspect` or `Dead` where others accuse it; else the owner's state.
+    /// `Suspect` or `Dead` if the member is accused; otherwise its own published state.
     pub(crate) state: NodeState,
     pub(crate) address: Option<SocketAddr>,
     /// When `state` last changed.
@@ -27,7 +27,7 @@
         Freshness::with_state(&self.member, self.state)
     }
 
-    /// Whether it is probed and told news.
+    /// Returns whether the member is probed and gets updates.
     pub(crate) fn is_live(&self) -> bool {
         !matches!(self.state, NodeState::Dead | NodeState::Left)
     }
@@ -36,8 +36,8 @@
         matches!(self.state, NodeState::Suspect | NodeState::Dead)
     }
 
-    /// The record that tells others what this node believes.
-    pub(crate) fn belief(&self) -> Member {
+    /// Returns the record that describes this node's view of the member to others.
+    pub(crate) fn gossip_record(&self) -> Member {
         if self.is_accused() {
             return record::accusation(&self.member);
         }
@@ -45,7 +45,7 @@
     }
 }
 
-/// What a record changed.
+/// Effect of merging a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Merged {
     Stale,
@@ -54,8 +54,8 @@
     BeganLeaving,
 }
 
-/// Records of all other members, ordered by node id so that two tables can be
-/// compared page by page.
+/// Records of all other members, ordered by node id so that two tables can be compared page by
+/// page.
 #[derive(Default)]
 pub(crate) struct Table {
     entries: BTreeMap<String, Entry>,
@@ -84,7 +84,7 @@
         self.entries.len()
     }
 
-    /// Changes with every live record, whatever order they came in.
+    /// Returns a digest of all live records, which does not depend on the order of arrival.
     pub(crate) fn digest(&self) -> u64 {
         self.digest
     }
@@ -94,10 +94,10 @@
         self.entries.range::<str, _>(from)
     }
 
-    /// Takes in a record of another node, if it is fresher than what is known.
+    /// Merges a record of another node if it is fresher than the known one.
     pub(crate) fn merge(&mut self, now: Instant, record: Member) -> Merged {
         if record::is_accusation(&record) {
-            return self.hear_accusation(now, &record);
+            return self.merge_accusation(now, &record);
         }
         let known = self.entries.get(&record.node_id);
         if known.is_some_and(|entry| Freshness::of(&record) <= entry.freshness()) {
@@ -120,25 +120,24 @@
         merged
     }
 
-    /// What a member itself said last, if it has left and the record says that
-    /// it is still there.
+    /// Returns the latest record of a member that has left, if `record` claims that it is still
+    /// present.
     ///
-    /// Failure: a node is paused or cut off while a member leaves, and comes
-    /// back when the news has been told. Symptom: pages hold nothing of who has
-    /// left, so it goes on placing calls there until its own probes fail. Who
-    /// tells of such a member is told that it has left.
-    pub(crate) fn word_of_leaving(&self, record: &Member) -> Option<Member> {
+    /// This corrects a node that was paused or cut off while the member left, and comes back when
+    /// the update is no longer disseminated. Otherwise it would send calls to the member until its
+    /// own probes fail.
+    pub(crate) fn departure_record(&self, record: &Member) -> Option<Member> {
         let entry = self.entries.get(&record.node_id)?;
         let has_left = entry.state == NodeState::Left && record.state() != NodeState::Left;
         let same_start = entry.member.incarnation == record.incarnation;
         (has_left && same_start).then(|| entry.member.clone())
     }
 
-    /// Takes another node's accusation for a suspicion, never for more: each
-    /// node waits for itself before it holds a member for dead. Were a death
-    /// taken over unseen, one node with a bad network could take any member
-    /// from everybody's view before it can answer.
-    fn hear_accusation(&mut self, now: Instant, record: &Member) -> Merged {
+    /// Merges another node's accusation as a suspicion, even if it reports a death: each node waits
+    /// for the suspicion timeout itself before it considers a member dead. If deaths were accepted
+    /// from others, one node with a bad network could remove any member from every view before the
+    /// member can refute.
+    fn merge_accusation(&mut self, now: Instant, record: &Member) -> Merged {
         let Some(entry) = self.entries.get(&record.node_id) else {
             return Merged::Stale;
         };
@@ -156,8 +155,8 @@
         Merged::Changed
     }
 
-    /// Records this node's own verdict on a member.
-    pub(crate) fn judge(&mut self, now: Instant, node_id: &str, state: NodeState) {
+    /// Sets this node's own view of a member's state.
+    pub(crate) fn set_state(&mut self, now: Instant, node_id: &str, state: NodeState) {
         let Some(entry) = self.entries.get(node_id) else {
             return;
         };
@@ -167,7 +166,7 @@
         self.put(entry);
     }
 
-    /// Gives suspected members as much longer as this node was paused itself.
+    /// Extends all suspicions by the duration for which this node was itself paused.
     pub(crate) fn extend_suspicions(&mut self, pause: Duration) {
         for entry in self.entries.values_mut() {
             if entry.state == NodeState::Suspect {
@@ -178,12 +177,13 @@
 
     pub(crate) fn remove(&mut self, node_id: &str) {
         if let Some(entry) = self.entries.remove(node_id) {
-            self.digest ^= digest_share(&entry);
+            self.digest ^= digest_contribution(&entry);
             self.live_count -= usize::from(entry.is_live());
         }
     }
 
-    /// Drops left and dead records past their age, and the oldest over the limit.
+    /// Drops records of left and dead members that have reached `age`, and the oldest ones above
+    /// `limit`.
     pub(crate) fn drop_old_tombstones(&mut self, now: Instant, age: Duration, limit: usize) {
         let mut tombstones: Vec<(Instant, String)> = self
             .entries
@@ -201,25 +201,25 @@
     }
 
     fn put(&mut self, entry: Entry) {
-        self.digest ^= digest_share(&entry);
+        self.digest ^= digest_contribution(&entry);
         self.live_count += usize::from(entry.is_live());
         if let Some(old) = self.entries.insert(entry.member.node_id.clone(), entry) {
-            self.digest ^= digest_share(&old);
+            self.digest ^= digest_contribution(&old);
             self.live_count -= usize::from(old.is_live());
         }
     }
 }
 
-/// Share of one record in a digest; dead and left members have none, since
-/// nodes forget them at different times.
-pub(crate) fn digest_share(entry: &Entry) -> u64 {
+/// Returns the contribution of an entry to the digest. Dead and left members have none, since nodes
+/// forget them at different times.
+pub(crate) fn digest_contribution(entry: &Entry) -> u64 {
     if !entry.is_live() {
         return 0;
     }
     member_digest(&entry.member)
 }
 
-/// Share of a live member's own record in a digest.
+/// Returns the contribution of a live member's own record to a digest.
 pub(crate) fn member_digest(member: &Member) -> u64 {
     let incarnation = member.incarnation.to_le_bytes();
     let version = member.version.to_le_bytes();
--- a/crates/hemlocktack-fleet/src/membership/tick.rs
+++ b/crates/hemlocktack-fleet/src/membership/tick.rs
@@ -1,4 +1,4 @@
-//! What passing time changes: probes, suspicions, deaths, retries.
+//! Periodic work: probes, suspicion timeouts, retries and table synchronisation.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -7,26 +7,26 @@
 use rand::Rng;
 use rand::seq::IteratorRandom;
 
-use super::machine::{Membership, MembershipAction, Sweep};
+use super::machine::{Membership, MembershipAction, TableSync};
 use super::probes::Pending;
 use super::settings::MembershipSafeguard;
 
-/// Periods without an answer after which a node that finds nobody takes itself
-/// for the first of the fleet.
+/// Probe periods without an answer after which a starting node assumes that it is the first of the
+/// fleet.
 const JOIN_PERIODS: u32 = 5;
-/// Behind every name of a node: names are ASCII.
-const BEHIND_ALL_NAMES: &str = "\u{10ffff}";
-/// A node that did not run for so many periods was paused itself.
+/// Sorts after every node id, since node ids are ASCII.
+const AFTER_ALL_NODE_IDS: &str = "\u{10ffff}";
+/// A node whose ticks are more than this many probe periods apart was itself paused.
 const PAUSE_PERIODS: u32 = 2;
 
 impl Membership {
-    /// To be called every tenth of a period or so.
+    /// Performs the work that is due; should be called about ten times per probe period.
     pub fn tick(&mut self, now: Instant, rng: &mut impl Rng) -> Vec<MembershipAction> {
         let mut actions = Vec::new();
         self.now = now;
-        self.forgive_own_pause(now);
-        self.ask_others(now, &mut actions, rng);
-        self.ask_seeds(&mut actions);
+        self.handle_own_pause(now);
+        self.send_indirect_probes(now, &mut actions, rng);
+        self.query_seeds(&mut actions);
         self.read_table(now, &mut actions, rng);
         if now >= self.next_period {
             self.next_period = now + self.settings.probe_period;
@@ -41,59 +41,67 @@
         actions: &mut Vec<MembershipAction>,
         rng: &mut impl Rng,
     ) {
-        self.pages_given = 0;
+        self.pages_sent = 0;
         self.urgent_sent = 0;
-        self.conclude_probe(now, actions);
+        self.suspect_unanswered(now, actions);
         self.declare_dead(now, actions);
         let (age, limit) = (self.settings.tombstone_age, self.settings.tombstone_limit);
-        let age = match self.settings.keeps(MembershipSafeguard::Tombstones) {
+        let age = match self.settings.is_enabled(MembershipSafeguard::Tombstones) {
             true => age,
             false => Duration::ZERO,
         };
         self.table.drop_old_tombstones(now, age, limit);
         self.probe_next(now, actions, rng);
-        self.try_lost(now, actions, rng);
-        self.continue_sweep(now, actions);
+        self.retry_unreachable(now, actions, rng);
+        self.continue_table_sync(now, actions);
     }
 
-    /// A node that was paused itself must not accuse others: their answers lay
-    /// unread in its socket, and every suspicion's time passed while nobody
-    /// could be heard. Symptom: on waking it holds half the fleet for dead.
-    /// And it has to read what it missed before others stop repeating it:
-    /// until then it places calls on upstreams that left meanwhile.
-    fn forgive_own_pause(&mut self, now: Instant) {
+    /// Detects that this node was itself paused, and compensates for it.
+    ///
+    /// After a pause the node must not accuse others: their answers are still unread in its socket,
+    /// and all suspicions timed out while nothing could be received. Otherwise it would consider
+    /// half the fleet dead when it resumes. It must also read the updates that it missed before
+    /// others stop sending them; until then it sends calls to upstreams that have left in the
+    /// meantime.
+    fn handle_own_pause(&mut self, now: Instant) {
         let gap = now.saturating_duration_since(self.last_tick);
         self.last_tick = now;
         let was_paused = gap > self.settings.probe_period * PAUSE_PERIODS;
-        if was_paused && self.settings.keeps(MembershipSafeguard::OwnPause) {
+        if was_paused && self.settings.is_enabled(MembershipSafeguard::OwnPause) {
             self.probes.pending = None;
             self.table.extend_suspicions(gap);
         }
-        if was_paused && self.settings.keeps(MembershipSafeguard::ReadAfterPause) {
-            self.sweep = None;
-            self.reading_since = Some(now);
-            self.read_from.clear();
+        if was_paused
+            && self
+                .settings
+                .is_enabled(MembershipSafeguard::ReadAfterPause)
+        {
+            self.table_sync = None;
+            self.full_read_since = Some(now);
+            self.tables_read_from.clear();
         }
     }
 
-    /// Where a direct probe stays unanswered, others try: one bad path between
-    /// two nodes must not take a member from everybody's view.
-    fn ask_others(
+    /// Asks other members to probe a member that does not answer a direct probe, so that one bad
+    /// network path between two nodes does not remove a member from every view.
+    fn send_indirect_probes(
         &mut self,
         now: Instant,
         actions: &mut Vec<MembershipAction>,
         rng: &mut impl Rng,
     ) {
         let timeout = self.settings.direct_timeout;
-        let wanted = self.settings.keeps(MembershipSafeguard::IndirectProbes);
+        let may_ask = self
+            .settings
+            .is_enabled(MembershipSafeguard::IndirectProbes);
         let Some(pending) = &mut self.probes.pending else {
             return;
         };
         let waited = now.saturating_duration_since(pending.sent);
-        if !wanted || pending.asked_others || waited < timeout {
+        if !may_ask || pending.sent_indirect || waited < timeout {
             return;
         }
-        pending.asked_others = true;
+        pending.sent_indirect = true;
         let body = gossip::Body::IndirectProbe(IndirectProbe {
             sequence: pending.sequence,
             target_node_id: pending.node_id.clone(),
@@ -110,7 +118,7 @@
         }
     }
 
-    fn conclude_probe(&mut self, now: Instant, actions: &mut Vec<MembershipAction>) {
+    fn suspect_unanswered(&mut self, now: Instant, actions: &mut Vec<MembershipAction>) {
         let Some(pending) = self.probes.pending.take() else {
             return;
         };
@@ -121,13 +129,14 @@
         if !same_start || !entry.is_live() || entry.is_accused() {
             return;
         }
-        self.table.judge(now, &pending.node_id, NodeState::Suspect);
-        self.news.push(&pending.node_id);
+        self.table
+            .set_state(now, &pending.node_id, NodeState::Suspect);
+        self.gossip_queue.push(&pending.node_id);
         actions.push(MembershipAction::MembersChanged);
     }
 
-    /// Time for a suspected member to hear of it and for its answer to spread:
-    /// each doubling of the fleet takes a period more.
+    /// Returns the time for a suspected member to learn of the suspicion and for its refutation to
+    /// spread. Each doubling of the fleet adds one period.
     pub(super) fn suspicion_timeout(&self) -> Duration {
         let members = self.table.live_count() + 1;
         let doublings = usize::BITS - members.leading_zeros();
@@ -144,7 +153,7 @@
             .map(|(node_id, _)| node_id.clone())
             .collect();
         for node_id in expired {
-            self.table.judge(now, &node_id, NodeState::Dead);
+            self.table.set_state(now, &node_id, NodeState::Dead);
             actions.push(MembershipAction::MembersChanged);
         }
     }
@@ -155,11 +164,11 @@
         actions: &mut Vec<MembershipAction>,
         rng: &mut impl Rng,
     ) {
-        let far_interval = self.settings.far_probe_interval;
+        let remote_interval = self.settings.remote_probe_interval;
         let data_centre = &self.own.data_centre;
         let target = self
             .probes
-            .next_target(&self.table, data_centre, far_interval, rng);
+            .next_target(&self.table, data_centre, remote_interval, rng);
         if let Some(target) = target {
             self.probe(now, &target, false, actions);
         }
@@ -178,7 +187,7 @@
         let Some(address) = entry.address else {
             return;
         };
-        let first = entry.is_accused().then(|| entry.belief());
+        let first = entry.is_accused().then(|| entry.gossip_record());
         let sequence = self.probes.next_sequence();
         if !is_retry {
             self.probes.pending = Some(Pending {
@@ -186,25 +195,29 @@
                 node_id: node_id.to_owned(),
                 incarnation: entry.member.incarnation,
                 sent: now,
-                asked_others: false,
+                sent_indirect: false,
             });
         }
         let body = gossip::Body::Probe(Probe {
             sequence,
             on_behalf_of: String::new(),
         });
-        // Most likely nobody reads a retry: news on it would count as told.
+        // A retry most likely reaches nobody, so records on it would wrongly count as sent.
         match is_retry {
-            true => self.send_without_news(address, Some(body), first.as_slice(), actions),
+            true => self.send_without_queued(address, Some(body), first.as_slice(), actions),
             false => self.send(address, Some(body), first.as_slice(), actions),
         }
     }
 
-    /// Tries one dead member or one unknown seed now and then. Without this
-    /// two regions that lost each other for longer than a suspicion lasts
-    /// would each go on alone for ever.
-    fn try_lost(&mut self, now: Instant, actions: &mut Vec<MembershipAction>, rng: &mut impl Rng) {
-        if now < self.next_retry || !self.settings.keeps(MembershipSafeguard::DeadRetry) {
+    /// Periodically probes one dead or left member and one unknown seed. Otherwise two regions that
+    /// were partitioned for longer than the suspicion timeout would never join again.
+    fn retry_unreachable(
+        &mut self,
+        now: Instant,
+        actions: &mut Vec<MembershipAction>,
+        rng: &mut impl Rng,
+    ) {
+        if now < self.next_retry || !self.settings.is_enabled(MembershipSafeguard::DeadRetry) {
             return;
         }
         self.next_retry = now + self.settings.dead_retry_period;
@@ -213,28 +226,29 @@
             self.probe(now, &node_id, true, actions);
         }
         if let Some(seed) = self.unknown_seed(rng) {
-            self.greet(seed, actions);
+            self.probe_seed(seed, actions);
         }
     }
 
-    /// Asks all seeds that are not known yet who they are, once after a start.
+    /// Asks all unknown seeds for their own record, once after they were set while this node is
+    /// starting.
     ///
-    /// Failure: all nodes are killed at once. Each finds the others' addresses
-    /// in the platform and asks one a second; until they have told each other,
-    /// callers are refused for want of an upstream that stands idle. A page
-    /// behind the last name holds nothing but its giver's own record, so this
-    /// costs a datagram each way for each seed, once a start.
-    fn ask_seeds(&mut self, actions: &mut Vec<MembershipAction>) {
-        if !std::mem::take(&mut self.asks_seeds) || self.reading_since.is_none() {
+    /// If all nodes are killed at once, each finds the others' addresses in the platform. If it
+    /// only probed one seed per second, callers would be refused for lack of an upstream, although
+    /// idle ones exist, until the nodes know each other. A page after the last node id contains
+    /// nothing but the sender's own record, so this costs one datagram in each direction per seed
+    /// and start.
+    fn query_seeds(&mut self, actions: &mut Vec<MembershipAction>) {
+        if !std::mem::take(&mut self.seeds_changed) || self.full_read_since.is_none() {
             return;
         }
         let own = self.own.clone();
         for seed in self.unknown_seeds() {
             let pull = SyncPull {
-                after_node_id: BEHIND_ALL_NAMES.to_owned(),
+                after_node_id: AFTER_ALL_NODE_IDS.to_owned(),
             };
             let body = Some(gossip::Body::SyncPull(pull));
-            self.send_without_news(seed, body, std::slice::from_ref(&own), actions);
+            self.send_without_queued(seed, body, std::slice::from_ref(&own), actions);
         }
     }
 
@@ -254,77 +268,77 @@
         self.seeds.iter().copied().filter(is_unknown).collect()
     }
 
-    fn greet(&mut self, seed: SocketAddr, actions: &mut Vec<MembershipAction>) {
+    fn probe_seed(&mut self, seed: SocketAddr, actions: &mut Vec<MembershipAction>) {
         let sequence = self.probes.next_sequence();
         let body = gossip::Body::Probe(Probe {
             sequence,
             on_behalf_of: String::new(),
         });
         let own = self.own.clone();
-        self.send_without_news(seed, Some(body), &[own], actions);
+        self.send_without_queued(seed, Some(body), &[own], actions);
     }
 
-    fn continue_sweep(&mut self, now: Instant, actions: &mut Vec<MembershipAction>) {
-        if self.reading_since.is_some() || now < self.next_sync {
+    fn continue_table_sync(&mut self, now: Instant, actions: &mut Vec<MembershipAction>) {
+        if self.full_read_since.is_some() || now < self.next_sync {
             return;
         }
         self.next_sync = now + self.settings.sync_period;
-        self.drop_dead_sweep();
+        self.drop_dead_table_sync();
         self.pull_page(actions);
     }
 
-    /// A sweep whose peer has gone would wait for ever.
-    fn drop_dead_sweep(&mut self) {
-        let Some(sweep) = &self.sweep else {
+    /// Drops a table synchronisation whose peer is gone, which would otherwise wait forever.
+    fn drop_dead_table_sync(&mut self) {
+        let Some(table_sync) = &self.table_sync else {
             return;
         };
-        let peer = sweep.peer;
+        let peer = table_sync.peer;
         let is_live = self
             .table
             .live()
             .any(|(_, entry)| entry.address == Some(peer));
         if !is_live {
-            self.sweep = None;
+            self.table_sync = None;
         }
     }
 
-    /// Reads a whole table from a live member or a seed; from another one if a
-    /// page does not come soon, since a node that was paused for long knows
-    /// many that are gone.
+    /// Reads a whole table from a live member or a seed. If a page does not arrive soon, it
+    /// continues with another peer, since a node that was paused for long knows many members that
+    /// are gone.
     fn read_table(
         &mut self,
         now: Instant,
         actions: &mut Vec<MembershipAction>,
         rng: &mut impl Rng,
     ) {
-        let Some(since) = self.reading_since else {
+        let Some(since) = self.full_read_since else {
             return;
         };
-        let waited = now.saturating_duration_since(self.pulled);
-        let is_waiting = self.sweep.is_some() && waited < self.settings.direct_timeout;
+        let waited = now.saturating_duration_since(self.last_pull);
+        let is_waiting = self.table_sync.is_some() && waited < self.settings.direct_timeout;
         if is_waiting {
             return;
         }
-        let patience = self.settings.probe_period * JOIN_PERIODS;
-        if now.saturating_duration_since(since) >= patience {
+        let join_timeout = self.settings.probe_period * JOIN_PERIODS;
+        if now.saturating_duration_since(since) >= join_timeout {
             self.joined = true;
-            self.reading_since = None;
+            self.full_read_since = None;
             return;
         }
         let known = self
             .table
             .live()
             .filter_map(|(_, entry)| entry.address)
-            .filter(|address| !self.read_from.contains(address))
+            .filter(|address| !self.tables_read_from.contains(address))
             .choose(rng);
         let Some(peer) = known.or_else(|| self.unknown_seed(rng)) else {
             return;
         };
         let cursor = self
-            .sweep
+            .table_sync
             .take()
-            .map_or(String::new(), |sweep| sweep.cursor);
-        self.sweep = Some(Sweep { peer, cursor });
+            .map_or(String::new(), |table_sync| table_sync.cursor);
+        self.table_sync = Some(TableSync { peer, cursor });
         self.pull_page(actions);
     }
 }
--- a/crates/hemlocktack-fleet/src/membership/urgent.rs
+++ b/crates/hemlocktack-fleet/src/membership/urgent.rs
@@ -1,4 +1,4 @@
-//! News that does not wait for the next probe: to whom it goes at once.
+//! Urgent updates, which are sent at once instead of with the next probe.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,43 +12,44 @@
 use super::table::Entry;
 
 impl Membership {
-    /// Sends news of this node's own to a few members right away, with one at
-    /// least in each data centre. Within one period only so many, so that a mass
-    /// of drains cannot raise the cost without bound; what is over the limit
-    /// rides on the ordinary datagrams. For the same reason these carry nothing
-    /// else.
-    pub(super) fn tell_at_once(
+    /// Sends an update about this node to a few members at once, with at least one in each data
+    /// centre.
+    ///
+    /// The number per period is limited, so that many simultaneous drains cannot raise the cost
+    /// without bound; updates above the limit are piggybacked on ordinary datagrams. For the same
+    /// reason these datagrams carry no other records.
+    pub(super) fn send_urgent_update(
         &mut self,
         records: Vec<Member>,
         actions: &mut Vec<MembershipAction>,
         rng: &mut impl Rng,
     ) {
-        let mut targets = self.far_targets(rng);
-        targets.extend(self.targets(true, self.settings.urgent_fanout / 2, rng));
-        self.send_at_once(&targets, &records, actions);
+        let mut targets = self.one_per_remote_data_centre(rng);
+        targets.extend(self.sample_members(true, self.settings.urgent_fanout / 2, rng));
+        self.send_urgent(&targets, &records, actions);
     }
 
-    /// Passes urgent news on: to one member elsewhere, and for the rest to the
-    /// own data centre, which its owner has told one of.
-    pub(super) fn pass_on_at_once(
+    /// Forwards an urgent update: to one member of another data centre, and otherwise to members of
+    /// the own data centre, one of which the originating node has notified.
+    pub(super) fn forward_urgent_update(
         &mut self,
         records: Vec<Member>,
         actions: &mut Vec<MembershipAction>,
         rng: &mut impl Rng,
     ) {
         let fanout = self.settings.urgent_fanout;
-        let mut targets = self.targets(true, fanout.saturating_sub(1), rng);
-        targets.extend(self.targets(false, fanout - targets.len(), rng));
-        self.send_at_once(&targets, &records, actions);
+        let mut targets = self.sample_members(true, fanout.saturating_sub(1), rng);
+        targets.extend(self.sample_members(false, fanout - targets.len(), rng));
+        self.send_urgent(&targets, &records, actions);
     }
 
-    fn send_at_once(
+    fn send_urgent(
         &mut self,
         targets: &[SocketAddr],
         records: &[Member],
         actions: &mut Vec<MembershipAction>,
     ) {
-        if !self.settings.keeps(MembershipSafeguard::UrgentNews) {
+        if !self.settings.is_enabled(MembershipSafeguard::UrgentNews) {
             return;
         }
         for to in targets {
@@ -56,17 +57,16 @@
                 return;
             }
             self.urgent_sent += 1;
-            self.send_without_news(*to, None, records, actions);
+            self.send_without_queued(*to, None, records, actions);
         }
     }
 
-    /// One member of each other data centre.
+    /// Returns one random member of each other data centre.
     ///
-    /// Failure: members mostly probe and tell those of their own data centre.
-    /// Where the few who are told happen to lie in the others, a whole data
-    /// centre hears nothing for seconds. Symptom: all its nodes place calls on
-    /// an upstream that left.
-    fn far_targets(&self, rng: &mut impl Rng) -> Vec<SocketAddr> {
+    /// Members mostly probe members of their own data centre. If none of the few notified members
+    /// were in a data centre, all of it would learn nothing for seconds, and its nodes would send
+    /// calls to an upstream that has left.
+    fn one_per_remote_data_centre(&self, rng: &mut impl Rng) -> Vec<SocketAddr> {
         let mut by_data_centre: BTreeMap<&str, Vec<SocketAddr>> = BTreeMap::new();
         for (_, entry) in self.table.live() {
             let data_centre = entry.member.data_centre.as_str();
@@ -83,13 +83,13 @@
             .collect()
     }
 
-    /// Members of the own data centre, or of the others. A sample comes in no
-    /// random order: it is drawn in the number that is wanted and not cut down.
-    fn targets(&self, near: bool, count: usize, rng: &mut impl Rng) -> Vec<SocketAddr> {
-        let is_near = |entry: &Entry| entry.member.data_centre == self.own.data_centre;
+    /// Returns a random sample of members of the own data centre (`is_local`) or of the others. The
+    /// order of a sample is not random, so it must be drawn with the wanted size and not truncated.
+    fn sample_members(&self, is_local: bool, count: usize, rng: &mut impl Rng) -> Vec<SocketAddr> {
+        let in_own_data_centre = |entry: &Entry| entry.member.data_centre == self.own.data_centre;
         self.table
             .live()
-            .filter(|(_, entry)| is_near(entry) == near)
+            .filter(|(_, entry)| in_own_data_centre(entry) == is_local)
             .filter_map(|(_, entry)| entry.address)
             .sample(rng, count)
     }
--- a/crates/hemlocktack-fleet/src/tickets/children.rs
+++ b/crates/hemlocktack-fleet/src/tickets/children.rs
@@ -1,4 +1,4 @@
-//! Tickets of the non-idempotent calls that an upstream makes for one call.
+//! Tickets of the non-idempotent child calls that an upstream makes while it runs a call.
 
 use std::collections::HashMap;
 
@@ -11,34 +11,35 @@
 use crate::tickets::record::Nonce;
 use crate::tickets::ticket::Ticket;
 
-// An upstream makes a handful of such calls for one request; the bound keeps a
-// faulty one from filling the node's memory.
+// An upstream makes only a few such calls for one request; the limit keeps a faulty upstream from
+// exhausting the node's memory.
 const CHILDREN_LIMIT: usize = 256;
 const KEY_LIMIT_BYTES: usize = 256;
 
-/// Why a deeper call gets no ticket. Nothing has run.
+/// Why a child call gets no ticket. It has not run.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum ChildRefusal {
-    /// It carries no key of the upstream's own.
-    #[display("a deeper call that is not idempotent needs a key")]
+    /// The call carries no idempotency key chosen by the upstream.
+    #[display("a child call that is not idempotent needs an idempotency key")]
     KeyRequired,
-    /// Its parent may be repeated, and each repetition would run it again.
-    #[display("an idempotent call cannot make a call that is not, except with a ticket")]
+    /// The parent call is idempotent and may be repeated; each repetition would run the child
+    /// again.
+    #[display("an idempotent call cannot make a non-idempotent child call without a ticket")]
     ParentIdempotent,
-    /// The key is a ticket that no valid key signed. It may have run, under a
-    /// key that has been dropped since.
-    #[display("the key is a ticket that this fleet's keys did not sign")]
+    /// The key is a ticket that was signed with no valid fleet key. It may have run under a fleet
+    /// key that has since been removed.
+    #[display("the idempotency key is a ticket that was not signed with this fleet's keys")]
     Foreign,
-    /// Key too long, or too many keys under one parent.
-    #[display("the key is too long or the parent has too many")]
+    /// The key is too long, or the parent has too many keys.
+    #[display("the idempotency key is too long, or the parent call has too many keys")]
     LimitExceeded,
     /// No node of the service is known.
-    #[display("no home is known for the service")]
+    #[display("no node of the service is known")]
     NoHome,
 }
 
 impl ChildRefusal {
-    /// Reason that the upstream is told.
+    /// Returns the reason that is sent to the upstream.
     pub fn reason(self) -> Reason {
         match self {
             ChildRefusal::KeyRequired | ChildRefusal::ParentIdempotent => Reason::TicketRequired,
@@ -49,12 +50,12 @@
     }
 }
 
-/// Where a child's ticket may be homed.
+/// Home for a child call's new ticket.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChildHome {
-    /// A node of the child's service.
+    /// A node of the child call's service.
     pub home: NodeIncarnation,
-    /// That home's epoch as this node knows it.
+    /// The home's current epoch, as far as this node knows.
     pub epoch: u64,
 }
 
@@ -64,20 +65,20 @@
     key: Bytes,
 }
 
-/// Children of one running call; lives as long as the call's context.
+/// Tickets of the child calls of one running call; kept as long as the call's context.
 ///
-/// The parent runs at most once, and each of its children has one ticket for
-/// all its sends: so the whole chain runs at most once. The home must be
-/// remembered and not chosen again, because two homes would both start it.
+/// The parent runs at most once and each child call has one ticket for all its sends, so the whole
+/// chain runs at most once. The ticket is stored, because choosing the home again could pick
+/// another node, and both homes would run the call.
 #[derive(Clone, Debug)]
 pub struct ChildCalls {
-    // `None`: the parent is idempotent and may be repeated.
+    // `None` if the parent is idempotent and may be repeated.
     parent_nonce: Option<Nonce>,
     tickets: HashMap<ChildKey, Ticket>,
 }
 
 impl ChildCalls {
-    /// For a parent that runs at most once under a ticket.
+    /// Creates the table for a parent that runs at most once under a ticket.
     pub fn for_ticketed_parent(parent_nonce: Nonce) -> ChildCalls {
         ChildCalls {
             parent_nonce: Some(parent_nonce),
@@ -85,7 +86,7 @@
         }
     }
 
-    /// For a parent that may be repeated.
+    /// Creates the table for a parent that may be repeated.
     pub fn for_idempotent_parent() -> ChildCalls {
         ChildCalls {
             parent_nonce: None,
@@ -93,13 +94,14 @@
         }
     }
 
-    /// The child's one ticket. `choose_home` is asked on its first send only.
+    /// Returns the ticket of the child call that has this key. `choose_home` is called only on the
+    /// first send.
     ///
-    /// A key that is itself a valid ticket for the service is used as it is,
-    /// whatever the parent: it binds the request by itself.
+    /// A key that is itself a valid ticket for the service is used unchanged, whether or not the
+    /// parent is idempotent, because the ticket alone already limits the request to one run.
     ///
     /// # Errors
-    /// Why the deeper call gets no ticket; nothing has run.
+    /// The reason why the child call gets no ticket; it has not run.
     pub fn ticket_for(
         &mut self,
         keys: &FleetKeys,
@@ -110,8 +112,8 @@
         let Some(key) = key.filter(|key| !key.is_empty()) else {
             return Err(ChildRefusal::KeyRequired);
         };
-        if let Some(passed_along) = passed_along(keys, service, key) {
-            return passed_along;
+        if let Some(passed_ticket) = passed_ticket(keys, service, key) {
+            return passed_ticket;
         }
         let Some(parent_nonce) = self.parent_nonce else {
             return Err(ChildRefusal::ParentIdempotent);
@@ -138,14 +140,14 @@
     }
 }
 
-// `None`: a key of the upstream's own.
-fn passed_along(
+// Returns `None` for a key that the upstream chose itself, which is no ticket.
+fn passed_ticket(
     keys: &FleetKeys,
     service: &str,
     key: &[u8],
 ) -> Option<Result<Ticket, ChildRefusal>> {
     let text = std::str::from_utf8(key).ok()?;
-    if !Ticket::is_form_for(service, text) {
+    if !Ticket::has_ticket_format(service, text) {
         return None;
     }
     Some(Ticket::decode(keys, service, text).map_err(|_| ChildRefusal::Foreign))
--- a/crates/hemlocktack-fleet/src/tickets/epochs.rs
+++ b/crates/hemlocktack-fleet/src/tickets/epochs.rs
@@ -1,11 +1,11 @@
-//! Expiry without clocks: a home counts epochs by the records it made.
+//! Expiry of tickets by epochs, which advance with the number of new records instead of a clock.
 
 use std::collections::VecDeque;
 
 use crate::peer::NodeIncarnation;
 use crate::tickets::record::Nonce;
 
-/// Whether a ticket's epoch is one that the home still keeps records of.
+/// Position of a ticket's epoch relative to the epochs whose records the home still keeps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EpochAge {
     Kept,
@@ -13,11 +13,10 @@
     NotReached,
 }
 
-/// Records of one home, own or adopted, by the epoch of their tickets.
+/// Nonces of the tickets of one home, own or adopted, grouped by epoch.
 ///
-/// A record goes only together with its whole epoch, and from then on every
-/// ticket of that epoch is refused. Dropping single records would let a
-/// delayed re-send start the request a second time.
+/// Records are removed one whole epoch at a time, and every ticket of a removed epoch is refused.
+/// Removing single records would let a delayed re-send run the request a second time.
 #[derive(Clone, Debug)]
 pub(crate) struct EpochWindow {
     pub(crate) home: NodeIncarnation,
@@ -26,7 +25,7 @@
     kept_count: usize,
     records_per_epoch: usize,
     created_since_advance: usize,
-    // Last one is the current epoch's.
+    // The last entry belongs to the current epoch.
     nonces: VecDeque<Vec<Nonce>>,
 }
 
@@ -66,17 +65,19 @@
         }
     }
 
-    /// Lists a record that another home made; it brings no epoch nearer its end,
-    /// or taking over a large table would expire it.
-    pub(crate) fn list(&mut self, epoch: u64, nonce: Nonce) {
+    /// Adds a record that was created at another home.
+    ///
+    /// It does not count towards the end of the current epoch; otherwise adopting a large table
+    /// would expire that table at once.
+    pub(crate) fn add(&mut self, epoch: u64, nonce: Nonce) {
         debug_assert_eq!(self.age(epoch), EpochAge::Kept);
         let index = self.nonces.len() - 1 - (self.current - epoch) as usize;
         self.nonces[index].push(nonce);
     }
 
-    /// Lists a new record; returns the nonces of an epoch that went out of the window.
-    pub(crate) fn note(&mut self, epoch: u64, nonce: Nonce) -> Vec<Nonce> {
-        self.list(epoch, nonce);
+    /// Adds a new record; returns the nonces of the epoch that expired, if any.
+    pub(crate) fn add_new(&mut self, epoch: u64, nonce: Nonce) -> Vec<Nonce> {
+        self.add(epoch, nonce);
         self.created_since_advance += 1;
         match self.created_since_advance >= self.records_per_epoch {
             true => self.advance(),
--- a/crates/hemlocktack-fleet/src/tickets/home.rs
+++ b/crates/hemlocktack-fleet/src/tickets/home.rs
@@ -1,20 +1,20 @@
-//! Which node may start a ticket's request.
+//! Lookup of the node that may run a ticket's request.
 //!
-//! Apart from the table on purpose: another key scheme (keys that callers
-//! make, homed by an agreed roster) would replace this function and leave the
-//! table as it is.
+//! This is separate from the ticket table, so that another key scheme (for example keys chosen by
+//! callers and assigned to homes by an agreed list of nodes) can replace this function and leave
+//! the table unchanged.
 
 use crate::peer::NodeIncarnation;
 use crate::tickets::ticket::Ticket;
 
-// A home stops, its successor stops later, and so on. A longer chain than this
-// within the life of a ticket means that the records are wrong.
+// Each successor may itself stop and hand over. A longer chain than this within the lifetime of a
+// ticket means that the published successions are wrong, for example cyclic.
 const SUCCESSION_HOPS_LIMIT: usize = 64;
 
-/// The ticket's home, or who took over from it by a finished handover.
+/// Returns the ticket's home, or the node that took over its tickets in a completed handover.
 ///
-/// `successor_of` tells what members publish. A stale view is harmless: the
-/// incarnation that is asked refuses tickets that aren't its own.
+/// `successor_of` returns what members publish. A stale view is harmless, because a node refuses
+/// tickets whose home it is not.
 pub fn find_home(
     ticket: &Ticket,
     successor_of: impl Fn(&NodeIncarnation) -> Option<NodeIncarnation>,
--- a/crates/hemlocktack-fleet/src/tickets/kept_answers.rs
+++ b/crates/hemlocktack-fleet/src/tickets/kept_answers.rs
@@ -1,4 +1,4 @@
-//! Answers kept for callers that ask again, within a byte budget.
+//! Answers kept for re-sent requests, within a memory budget.
 
 use std::collections::{HashMap, VecDeque};
 use std::hash::Hash;
@@ -7,7 +7,7 @@
 use hemlocktack_protocol::Answer;
 use prost::Message;
 
-// What an entry costs beside its encoded bytes: map slot, queue slot, allocation.
+// Memory of an entry beyond its encoded bytes: map slot, queue slot and allocation.
 const ENTRY_OVERHEAD_BYTES: usize = 256;
 
 #[derive(Clone, Debug)]
@@ -16,7 +16,7 @@
     size_bytes: usize,
 }
 
-/// Keeps the latest answers; the oldest go first when the budget is spent.
+/// Keeps the latest answers and evicts the oldest ones when the budget is used up.
 #[derive(Clone, Debug)]
 pub(crate) struct KeptAnswers<Key> {
     budget_bytes: usize,
@@ -58,8 +58,8 @@
             return;
         };
         self.used_bytes -= kept.size_bytes;
-        // Keys of removed answers stay in the queue until they come to its
-        // front; trimmed here so that it can't outgrow the map.
+        // Keys of removed answers stay in the queue until they reach its front. Removes them when
+        // they outnumber the kept ones, so that the queue cannot outgrow the map.
         if self.oldest_first.len() > 2 * self.by_key.len() + 64 {
             let by_key = &self.by_key;
             self.oldest_first.retain(|key| by_key.contains_key(key));
@@ -70,7 +70,7 @@
         self.used_bytes
     }
 
-    /// A smaller budget drops the oldest answers at once.
+    /// Changes the budget; a smaller one evicts the oldest answers at once.
     pub(crate) fn set_budget_bytes(&mut self, budget_bytes: usize) {
         self.budget_bytes = budget_bytes;
         while self.used_bytes > self.budget_bytes {
--- a/crates/hemlocktack-fleet/src/tickets/mod.rs
+++ b/crates/hemlocktack-fleet/src/tickets/mod.rs
@@ -1,17 +1,20 @@
-//! Tickets: each non-idempotent request is bound to one incarnation of one node.
+//! Tickets, which make sure that a non-idempotent request runs at most once.
 //!
-//! How a node drives this module:
+//! Each ticket is bound to one incarnation of one node, its home. Only the home decides whether the
+//! request may run, and it records the outcome.
 //!
-//! 1. A call that needs a ticket and has none is refused with a fresh one from
-//!    [`Ticket::issue`], for any home of the service that the node knows.
-//! 2. A call with a ticket: [`Ticket::decode`], then [`find_home`], and the call
-//!    goes to that incarnation and to no other.
-//! 3. The home asks [`TicketTable::start`]. On [`StartDecision::Run`] it admits the call
-//!    and says [`TicketTable::mark_started`] *before* the first byte goes to the
-//!    upstream, or [`TicketTable::delegate`] *before* the call goes to another node.
-//! 4. The end is recorded once: [`TicketTable::record_answer`], [`TicketTable::refuse`]
-//!    (nothing ran and nothing will), or [`TicketTable::record_unknown`] (it may have run).
-//!    Whoever joined gets the same end.
+//! A node uses this module as follows:
+//!
+//! 1. A call that needs a ticket and has none is refused with a new one from [`Ticket::issue`], for
+//!    any node of the service as its home.
+//! 2. A call with a ticket is passed to [`Ticket::decode`] and [`find_home`], and is then sent to
+//!    that incarnation only.
+//! 3. The home calls [`TicketTable::start`]. On [`StartDecision::Run`] it admits the call, and
+//!    calls [`TicketTable::mark_started`] *before* the first byte is sent to the upstream, or
+//!    [`TicketTable::delegate`] *before* the call is sent to another node.
+//! 4. The outcome is recorded once: [`TicketTable::record_answer`], [`TicketTable::refuse`] (it did
+//!    not run and never will) or [`TicketTable::record_unknown`] (it may have run). All sends that
+//!    joined the call get the same outcome.
 
 mod children;
 mod epochs;
--- a/crates/hemlocktack-fleet/src/tickets/record.rs
+++ b/crates/hemlocktack-fleet/src/tickets/record.rs
@@ -1,36 +1,36 @@
-//! What a home knows of one ticket.
+//! Record that a home keeps of one ticket.
 
 use derive_more::{Display, Error};
 use hemlocktack_protocol::{Fingerprint, Reason};
 
 use crate::peer::NodeIncarnation;
 
-/// 128 random bits that tell one ticket from all others.
+/// 128 random bits that identify a ticket.
 pub type Nonce = u128;
 
-/// How a ticket's request ended. It never changes again.
+/// Final outcome of a ticket's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TicketOutcome {
-    /// The upstream answered in whole; the answer may have been dropped since.
+    /// The upstream sent a complete answer, which may no longer be kept.
     Answered,
-    /// Fenced: it was not started and never will be.
+    /// The ticket is fenced: the request did not run and never will.
     NotRun(Reason),
-    /// It may have run; it is never started again.
+    /// The request may have run and is never started again.
     Unknown(Reason),
 }
 
-/// The table holds the ticket in a state that does not allow the step.
+/// The ticket is in a state that does not allow the requested transition.
 ///
-/// A node that sees this after [`crate::tickets::TicketTable::mark_started`] or
-/// [`crate::tickets::TicketTable::delegate`] must not send the request on.
+/// A node that gets this error from [`crate::tickets::TicketTable::mark_started`] or
+/// [`crate::tickets::TicketTable::delegate`] must not send the request.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
-#[display("the ticket's state does not allow this step")]
+#[display("the ticket's state does not allow this transition")]
 pub struct WrongState;
 
 #[derive(Clone, Debug)]
 pub(crate) enum State {
     Queued,
-    // Boxed: few records are in this state at a time, and the record stays small.
+    // Boxed to keep the record small: few records are in this state at any time.
     Delegated(Box<NodeIncarnation>),
     Started,
     Ended(TicketOutcome),
--- a/crates/hemlocktack-fleet/src/tickets/start.rs
+++ b/crates/hemlocktack-fleet/src/tickets/start.rs
@@ -1,4 +1,4 @@
-//! What the home does with a call that came with a ticket.
+//! Decision of a ticket's home on whether a call may run.
 
 use std::sync::Arc;
 
@@ -9,44 +9,44 @@
 use crate::tickets::table::{Phase, TicketTable};
 use crate::tickets::ticket::Ticket;
 
-// Expired records removed with each new one: faster than records are made, and
-// no single call pays for a whole epoch.
+// Expired records that are removed per call: more than the one record that the call may add, but
+// few enough that no single call bears the cost of a whole epoch.
 const PURGED_PER_START: usize = 4;
 
-/// What the home does with a call that came with a ticket.
+/// What the home does with a call that carries a ticket.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StartDecision {
-    /// First of its ticket: admit it; it is queued now.
+    /// This is the first call with the ticket and is now recorded as queued: admit it.
     Run,
-    /// It is queued or running: wait for the same end.
+    /// The request is queued or running: wait for its outcome.
     Join,
-    /// It has run: here is the answer.
+    /// The request has run with this answer.
     Answered(Arc<Answer>),
-    /// It has run and its answer is no longer kept.
+    /// The request has run, and its answer is no longer kept.
     AnswerNotKept,
-    /// It has not run and never will, or it may have run and never will again.
+    /// The request did not run and never will, or may have run and will not run again.
     Refused(CallFailure),
 }
 
 impl TicketTable {
-    /// Decides on a call with a genuine ticket, first send or re-send alike.
+    /// Decides what to do with a call whose ticket has been verified, for first sends and re-sends.
     ///
-    /// The first send binds the ticket to its request. A caller that uses the
-    /// ticket for another one would otherwise get the answer of the first.
+    /// The first send binds the ticket to its request by the fingerprint. Otherwise a caller that
+    /// reuses the ticket for another request would get the answer to the first.
     pub fn start(&mut self, ticket: &Ticket, fingerprint: Fingerprint) -> StartDecision {
         self.purge(PURGED_PER_START);
         let window = self.homes.iter().find(|window| window.home == ticket.home);
         if let Some(record) = self.records.get(&ticket.nonce) {
-            return self.restart(record, ticket, fingerprint, window);
+            return self.decide_known(record, ticket, fingerprint, window);
         }
-        // Another start of this node may have run it; so may a home whose
-        // table was dropped here.
+        // An earlier incarnation of this node may have run it, or an adopted home whose table has
+        // been dropped.
         let Some(window) = window else {
             return StartDecision::Refused(CallFailure::Unknown(Reason::HomeGone));
         };
         match window.age(ticket.epoch) {
             EpochAge::Kept => {}
-            // Its record may have gone with its epoch.
+            // Its record may have been removed with its epoch.
             EpochAge::Expired => {
                 return StartDecision::Refused(CallFailure::Unknown(Reason::TicketExpired));
             }
@@ -66,20 +66,20 @@
                 self.insert(ticket.nonce, record);
                 StartDecision::Run
             }
-            // The caller will be told `not_run`: an earlier send that is still
-            // under way must find the fence, here or at the successor.
+            // The caller is told `not_run`, so an earlier send that is still in transit must find
+            // the ticket fenced, here or at the successor.
             Phase::Stopping => {
                 let record = record(State::Ended(TicketOutcome::NotRun(Reason::Draining)));
                 self.insert(ticket.nonce, record);
                 StartDecision::Refused(not_run(Reason::Draining))
             }
-            // A fence made now would miss the successor. Asking it once it is
-            // known is safe: a re-send of the same ticket always is.
+            // A fence recorded now would not reach the successor. The call may be sent to the
+            // successor once it is known: re-sending the same ticket is always safe.
             Phase::Frozen => StartDecision::Refused(CallFailure::Unknown(Reason::Draining)),
         }
     }
 
-    fn restart(
+    fn decide_known(
         &self,
         record: &Record,
         ticket: &Ticket,
--- a/crates/hemlocktack-fleet/src/tickets/steps.rs
+++ b/crates/hemlocktack-fleet/src/tickets/steps.rs
@@ -1,4 +1,4 @@
-//! Steps of one ticket from its start to its end.
+//! State transitions of a ticket, from queued to its outcome.
 
 use std::sync::Arc;
 
@@ -9,10 +9,10 @@
 use crate::tickets::table::TicketTable;
 
 impl TicketTable {
-    /// Records that another node may start the request, before it is sent there.
+    /// Records that another node may run the request; must be called before it is sent there.
     ///
     /// # Errors
-    /// [`WrongState`] where the ticket is not in the state that this step needs.
+    /// [`WrongState`] if the ticket's state does not allow the transition.
     pub fn delegate(&mut self, nonce: Nonce, delegate: NodeIncarnation) -> Result<(), WrongState> {
         let state = self.state_mut(nonce)?;
         let State::Queued = state else {
@@ -22,10 +22,11 @@
         Ok(())
     }
 
-    /// Records the start, before the first byte goes to the upstream.
+    /// Records that the request starts; must be called before its first byte is sent to the
+    /// upstream.
     ///
     /// # Errors
-    /// [`WrongState`] where the ticket is not in the state that this step needs.
+    /// [`WrongState`] if the ticket's state does not allow the transition.
     pub fn mark_started(&mut self, nonce: Nonce) -> Result<(), WrongState> {
         let state = self.state_mut(nonce)?;
         let State::Queued = state else {
@@ -35,10 +36,11 @@
         Ok(())
     }
 
-    /// The upstream proved that it shed the request before it began: startable again.
+    /// Returns a started ticket to the queue, after the upstream confirmed that it shed the request
+    /// without running it.
     ///
     /// # Errors
-    /// [`WrongState`] where the ticket is not in the state that this step needs.
+    /// [`WrongState`] if the ticket's state does not allow the transition.
     pub fn requeue(&mut self, nonce: Nonce) -> Result<(), WrongState> {
         let state = self.state_mut(nonce)?;
         let State::Started = state else {
@@ -48,13 +50,14 @@
         Ok(())
     }
 
-    /// The delegate proved that it has not run and will not: startable again.
+    /// Returns a delegated ticket to the queue, after the delegate confirmed that the request did
+    /// not run and will not.
     ///
-    /// Only the recorded delegate's word counts. A late word from an earlier
-    /// one would let the request out a second time.
+    /// Only the recorded delegate is accepted. A late message from an earlier delegate would
+    /// otherwise let the request run a second time.
     ///
     /// # Errors
-    /// [`WrongState`] where the ticket is not in the state that this step needs.
+    /// [`WrongState`] if the ticket's state does not allow the transition.
     pub fn requeue_from(&mut self, nonce: Nonce, from: &NodeIncarnation) -> Result<(), WrongState> {
         let state = self.state_mut(nonce)?;
         match state {
@@ -64,11 +67,10 @@
         Ok(())
     }
 
-    /// Ends a queued ticket for good: `not_run` is told, and no send of it,
-    /// however late, will find it startable.
+    /// Fences a queued ticket: callers are told `not_run`, and no later send of it can run.
     ///
     /// # Errors
-    /// [`WrongState`] where the ticket is not in the state that this step needs.
+    /// [`WrongState`] if the ticket's state does not allow the transition.
     pub fn refuse(&mut self, nonce: Nonce, reason: Reason) -> Result<(), WrongState> {
         let State::Queued = self.state_mut(nonce)? else {
             return Err(WrongState);
@@ -77,10 +79,10 @@
         Ok(())
     }
 
-    /// Ends a started or delegated ticket with the upstream's whole answer.
+    /// Records the complete answer to a started or delegated ticket.
     ///
     /// # Errors
-    /// [`WrongState`] where the ticket is not in the state that this step needs.
+    /// [`WrongState`] if the ticket's state does not allow the transition.
     pub fn record_answer(&mut self, nonce: Nonce, answer: Arc<Answer>) -> Result<(), WrongState> {
         self.expect_may_have_run(nonce)?;
         self.answers.keep(nonce, answer);
@@ -88,10 +90,10 @@
         Ok(())
     }
 
-    /// Ends a started or delegated ticket that came to no whole answer.
+    /// Records that a started or delegated ticket got no complete answer and may have run.
     ///
     /// # Errors
-    /// [`WrongState`] where the ticket is not in the state that this step needs.
+    /// [`WrongState`] if the ticket's state does not allow the transition.
     pub fn record_unknown(&mut self, nonce: Nonce, reason: Reason) -> Result<(), WrongState> {
         self.expect_may_have_run(nonce)?;
         self.end(nonce, TicketOutcome::Unknown(reason));
