--- a/crates/hemlocktack-fleet/src/tickets/table.rs
+++ b/crates/hemlocktack-fleet/src/tickets/table.rs
@@ -1,4 +1,4 @@
-//! The home's record of every ticket that it has seen.
+//! A home's table of all tickets that it has seen.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -12,30 +12,29 @@
 const FIRST_EPOCH: u64 = 1;
 const OWN_HOME_NUMBER: u32 = 0;
 
-/// Bounds of a table's memory.
+/// Limits on the memory of a ticket table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TableLimits {
-    /// New records after which the epoch advances.
+    /// Number of new records after which the epoch advances.
     pub records_per_epoch: usize,
-    /// Epochs whose records are kept; older tickets have expired.
+    /// Number of epochs whose records are kept; tickets of older epochs have expired.
     pub kept_epochs: usize,
-    /// Encoded bytes of answers kept for re-sends.
+    /// Budget in encoded bytes for answers kept for re-sends.
     pub kept_answer_bytes: usize,
-    /// Homes whose tables are taken over; the oldest goes first.
+    /// Maximum number of homes whose tables are adopted; the oldest is dropped first.
     pub adopted_homes: usize,
 }
 
 impl TableLimits {
-    // One epoch more than is kept may wait for its removal.
+    // One expired epoch may still wait for its removal.
     fn records_limit(&self) -> usize {
         self.records_per_epoch * (self.kept_epochs + 1)
     }
 }
 
 impl Default for TableLimits {
-    /// With 375 new tickets a second a ticket expires after six minutes at the
-    /// earliest. Records and answers together stay under a quarter of the memory
-    /// that a node may use.
+    /// At 375 new tickets per second a ticket is valid for at least six minutes. Records and
+    /// answers together stay below a quarter of a node's memory limit.
     fn default() -> TableLimits {
         TableLimits {
             records_per_epoch: 16_384,
@@ -49,22 +48,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
     Accepting,
-    // New tickets are fenced; those in flight go on.
+    // New tickets are fenced; tickets in flight continue.
     Stopping,
-    // The table's content is on its way to a successor: nothing may be added.
+    // The content is being handed over to a successor: nothing may be added.
     Frozen,
 }
 
-/// All that one node incarnation knows of the tickets that it is home of.
+/// State of all tickets whose home is one incarnation of a node.
 ///
-/// It promises that [`TicketTable::mark_started`] and [`TicketTable::delegate`]
-/// let each ticket's request out to at most one place at a time, and that no
-/// ticket starts again once it has ended or may have run.
+/// [`TicketTable::mark_started`] and [`TicketTable::delegate`] guarantee that each ticket's request
+/// is sent to at most one place at a time, and that no request starts again once it has ended or
+/// may have run.
 #[derive(Clone, Debug)]
 pub struct TicketTable {
     pub(crate) limits: TableLimits,
     pub(crate) phase: Phase,
-    // The first is this node's own.
+    // The first entry is this node's own.
     pub(crate) homes: Vec<EpochWindow>,
     pub(crate) dropped_homes: VecDeque<NodeIncarnation>,
     next_home_number: u32,
@@ -75,7 +74,7 @@
 }
 
 impl TicketTable {
-    /// An empty table for one start of a node.
+    /// Creates an empty table for one incarnation of a node.
     pub fn new(
         node_id: impl Into<NodeId>,
         incarnation: Incarnation,
@@ -88,8 +87,8 @@
             homes: Vec::new(),
             dropped_homes: VecDeque::new(),
             next_home_number: OWN_HOME_NUMBER,
-            // Its growth would hold up every call of the node while it is moved;
-            // room that is not used yet takes no memory.
+            // Allocated in full, because growing the map would block every call of the node while
+            // its entries are moved. Pages that have not been touched take no physical memory.
             records: HashMap::with_capacity(limits.records_limit()),
             answers: KeptAnswers::new(limits.kept_answer_bytes),
             expired: VecDeque::new(),
@@ -99,48 +98,48 @@
         table
     }
 
-    /// The node start that this table belongs to.
+    /// Returns the node incarnation that owns this table.
     pub fn own_home(&self) -> &NodeIncarnation {
         &self.homes[0].home
     }
 
-    /// Epoch that new tickets for this home carry; goes into `Member.ticket_epoch`.
+    /// Returns the epoch of new tickets for this home, published as `Member.ticket_epoch`.
     pub fn current_epoch(&self) -> u64 {
         self.homes[0].current()
     }
 
-    /// Tickets queued, delegated or started.
+    /// Returns the number of tickets that are queued, delegated or started.
     pub fn in_flight_count(&self) -> usize {
         self.in_flight_count
     }
 
-    /// Records held, of all homes.
+    /// Returns the number of records of all homes.
     pub fn record_count(&self) -> usize {
         self.records.len()
     }
 
-    /// Changes the budget for kept answers; where it is smaller, the oldest go.
+    /// Changes the budget for kept answers; a smaller one evicts the oldest answers.
     pub fn set_kept_answer_bytes(&mut self, kept_answer_bytes: usize) {
         self.limits.kept_answer_bytes = kept_answer_bytes;
         self.answers.set_budget_bytes(kept_answer_bytes);
     }
 
-    /// Encoded bytes of kept answers, with their overhead.
+    /// Returns the memory of kept answers: encoded bytes and overhead.
     pub fn kept_answer_bytes(&self) -> usize {
         self.answers.used_bytes()
     }
 
-    /// Homes whose tickets this table decides on: its own and adopted ones.
+    /// Returns the homes whose tickets this table decides on: its own and adopted ones.
     pub fn homes(&self) -> impl Iterator<Item = &NodeIncarnation> {
         self.homes.iter().map(|window| &window.home)
     }
 
-    /// Whether unknown tickets of this home may begin here.
+    /// Returns whether requests with unknown tickets of this home may start here.
     pub fn is_open_for(&self, home: &NodeIncarnation) -> bool {
         self.phase == Phase::Accepting && self.homes().any(|own| own == home)
     }
 
-    /// End of a ticket, where it has one.
+    /// Returns the outcome of a ticket, if it has ended.
     pub fn outcome_of(&self, nonce: Nonce) -> Option<TicketOutcome> {
         match self.records.get(&nonce)?.state {
             State::Ended(end) => Some(end),
@@ -148,20 +147,20 @@
         }
     }
 
-    /// Takes no new tickets from now on; those in flight go on to their end.
+    /// Stops accepting new tickets; tickets in flight continue to their outcome.
     pub fn stop_accepting(&mut self) {
         if self.phase == Phase::Accepting {
             self.phase = Phase::Stopping;
         }
     }
 
-    /// Begins a new epoch. It also advances by itself with the records made.
+    /// Starts a new epoch. The epoch also advances automatically with the number of new records.
     pub fn advance_epoch(&mut self) {
         let expired = self.homes[0].advance();
         self.expired.extend(expired);
     }
 
-    /// Panics where the table contradicts itself; for tests and randomised runs.
+    /// Panics if the table is inconsistent; for tests and randomised runs.
     pub fn assert_consistent(&self) {
         let in_flight_count = self
             .records
@@ -200,7 +199,7 @@
         else {
             return;
         };
-        let expired = window.note(epoch, nonce);
+        let expired = window.add_new(epoch, nonce);
         self.expired.extend(expired);
     }
 
@@ -215,13 +214,13 @@
             .homes
             .iter()
             .find(|window| window.number == home_number);
-        // Its epoch went while it ran; tickets of it are refused as expired.
+        // Its epoch expired while the request ran, so its tickets are refused as expired.
         if window.is_none_or(|window| window.age(epoch) != EpochAge::Kept) {
             self.expired.push_back(nonce);
         }
     }
 
-    // Records in flight stay until their end, which lists them once more.
+    // Records in flight are kept; `end` queues them for removal again.
     pub(super) fn purge(&mut self, limit: usize) {
         for _ in 0..limit {
             let Some(nonce) = self.expired.pop_front() else {
--- a/crates/hemlocktack-fleet/src/tickets/ticket.rs
+++ b/crates/hemlocktack-fleet/src/tickets/ticket.rs
@@ -1,4 +1,4 @@
-//! A ticket and its text form in the `Idempotency-Key` header.
+//! Tickets and their text form in the `Idempotency-Key` header.
 
 use derive_more::{Display, Error};
 use hemlocktack_protocol::{Reason, ServiceName};
@@ -7,7 +7,7 @@
 use crate::peer::NodeIncarnation;
 use crate::tickets::record::Nonce;
 
-/// Longest text that is looked at; longer ones are malformed.
+/// Maximum length of a ticket's text; a longer text is malformed.
 pub const TICKET_TEXT_LIMIT_BYTES: usize = 320;
 
 const VERSION: &str = "ht1";
@@ -18,22 +18,24 @@
 /// Result of the functions of this module.
 pub type Result<T> = std::result::Result<T, TicketError>;
 
-/// Why a text is no ticket of this fleet, or a ticket can't be made.
+/// Why a text is not a ticket of this fleet, or a ticket cannot be issued.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum TicketError {
-    /// The text has not the form of a ticket.
-    #[display("not the form of a ticket")]
+    /// The text does not have the format of a ticket.
+    #[display("the text does not have the format of a ticket")]
     Malformed,
-    /// Form of a ticket, but signed with no valid key, or for another service.
+    /// The ticket is signed with no valid key, or was issued for another service.
     #[display("the ticket was not issued by this fleet for this service")]
     Foreign,
-    /// A service or node name that a ticket cannot carry.
-    #[display("a name in a ticket has 1 to {NAME_LIMIT_BYTES} letters, digits, '-', '_' or '.'")]
+    /// The service or node name cannot be encoded in a ticket.
+    #[display(
+        "a name in a ticket must have 1 to {NAME_LIMIT_BYTES} letters, digits, '-', '_' or '.'"
+    )]
     InvalidName,
 }
 
 impl TicketError {
-    /// Reason that the caller is told.
+    /// Returns the reason that is sent to the caller.
     pub fn reason(self) -> Reason {
         match self {
             TicketError::Malformed | TicketError::InvalidName => Reason::TicketMalformed,
@@ -42,26 +44,26 @@
     }
 }
 
-/// Permission to run one non-idempotent request, at one home, at most once.
+/// Permission to run one non-idempotent request at most once, decided by its home.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ticket {
-    /// Service that the request is for.
+    /// Service that the request is sent to.
     pub service: ServiceName,
-    /// The only node start that may begin the request.
+    /// The only node incarnation that may start the request.
     pub home: NodeIncarnation,
-    /// The home's epoch as the issuer knew it.
+    /// The home's epoch, as known to the issuing node.
     pub epoch: u64,
-    /// Tells this request from all others.
+    /// Random number that identifies the request.
     pub nonce: Nonce,
     mac: [u8; MAC_KEPT_BYTES],
 }
 
 impl Ticket {
-    /// Signs a ticket for a home of the service. `nonce` must come from a
-    /// cryptographic generator, or be derived under a key.
+    /// Issues a signed ticket. `nonce` must come from a cryptographic random number generator or be
+    /// derived with a secret key.
     ///
     /// # Errors
-    /// [`TicketError::InvalidName`] for a service or node name that a ticket cannot carry.
+    /// [`TicketError::InvalidName`] if the service or node name cannot be encoded in a ticket.
     pub fn issue(
         keys: &FleetKeys,
         service: ServiceName,
@@ -84,7 +86,7 @@
         Ok(ticket)
     }
 
-    /// Text for the header.
+    /// Returns the text of the header.
     pub fn encode(&self) -> String {
         let mac = u128::from_be_bytes(self.mac);
         format!(
@@ -93,22 +95,22 @@
         )
     }
 
-    /// Reads a header's text, with or without quotes, and checks its MAC and service.
+    /// Parses a header's text, with or without quotes, and checks its MAC and service.
     ///
     /// # Errors
-    /// What the text is not: a ticket, or one of this fleet for this service.
+    /// Whether the text is malformed, or the ticket is not one of this fleet for this service.
     pub fn decode(keys: &FleetKeys, service: &str, text: &str) -> Result<Ticket> {
         let ticket = parse(text).ok_or(TicketError::Malformed)?;
-        let genuine =
+        let has_valid_mac =
             ticket.with_signed_parts(|parts| keys.verify(MacPurpose::Ticket, parts, &ticket.mac));
-        if !genuine || &*ticket.service != service {
+        if !has_valid_mac || &*ticket.service != service {
             return Err(TicketError::Foreign);
         }
         Ok(ticket)
     }
 
-    /// Whether the text has the form of a ticket for the service, whoever signed it.
-    pub(crate) fn is_form_for(service: &str, text: &str) -> bool {
+    /// Returns whether the text has the format of a ticket for the service; the MAC is not checked.
+    pub(crate) fn has_ticket_format(service: &str, text: &str) -> bool {
         parse(text).is_some_and(|ticket| &*ticket.service == service)
     }
 
@@ -157,8 +159,8 @@
     inner.unwrap_or(text)
 }
 
-// One text for each ticket, so that two texts are never one request's:
-// `from_str_radix` alone would take signs, capitals and fewer digits.
+// Accepts one text only for each number, so that each ticket has exactly one text.
+// `from_str_radix` alone would also accept signs, capital digits and fewer digits.
 fn parse_fixed_hex(text: &str, digit_count: usize) -> Option<u128> {
     let is_digit = |byte: u8| matches!(byte, b'0'..=b'9' | b'a'..=b'f');
     if text.len() != digit_count || !text.bytes().all(is_digit) {
--- a/crates/hemlocktack-fleet/src/tickets/transfer.rs
+++ b/crates/hemlocktack-fleet/src/tickets/transfer.rs
@@ -1,4 +1,4 @@
-//! Taking a table out of a stopping home and into its successor.
+//! Transfer of a ticket table from a stopping home to its successor.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use crate::tickets::record::{Nonce, Record, State, TicketOutcome};
 use crate::tickets::table::{Phase, TicketTable};
 
-/// What the successor must know of one ticket.
+/// State of one ticket that is handed over to the successor.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct TransferEntry {
     pub(crate) nonce: Nonce,
@@ -19,7 +19,7 @@
     pub(crate) answer: Option<Arc<Answer>>,
 }
 
-/// Content of one home's table.
+/// Content of one home's ticket table.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct TransferTable {
     pub(crate) home: NodeIncarnation,
@@ -28,11 +28,11 @@
 }
 
 impl TicketTable {
-    /// Freezes the table for good and takes its content, one item a home.
+    /// Freezes the table permanently and returns its content, one item per home.
     ///
-    /// Requests that still wait are fenced; requests still with an upstream go
-    /// over as "may have run": the successor can't learn their end, and this
-    /// node may still answer those who wait for them here.
+    /// Queued requests are fenced. Requests that are still running are transferred as "may have
+    /// run": the successor cannot learn their outcome, but this node may still answer the callers
+    /// that wait for them here.
     pub(crate) fn freeze(&mut self) -> Vec<TransferTable> {
         self.phase = Phase::Frozen;
         self.fence_queued();
@@ -51,7 +51,7 @@
             .collect()
     }
 
-    /// Whether a successor may still hand its table to this node.
+    /// Returns whether this node may still adopt the table of another node.
     pub(crate) fn can_adopt(&self) -> bool {
         self.phase == Phase::Accepting
     }
@@ -61,7 +61,7 @@
             || self.dropped_homes.contains(home)
     }
 
-    /// Becomes the home of another's tickets.
+    /// Makes this node the home of another node's tickets.
     pub(crate) fn adopt(&mut self, table: TransferTable) {
         if self.has_adopted(&table.home) || table.home == *self.own_home() {
             return;
@@ -84,7 +84,7 @@
         if self.records.contains_key(&entry.nonce) {
             return;
         }
-        window.list(entry.epoch, entry.nonce);
+        window.add(entry.epoch, entry.nonce);
         if let Some(answer) = entry.answer {
             self.answers.keep(entry.nonce, answer);
         }
@@ -123,8 +123,8 @@
         })
     }
 
-    // The oldest is the one whose tickets are the least likely to come again;
-    // they are refused from now on as those of a home that has gone.
+    // Drops the oldest home first, whose tickets are the least likely to be re-sent. From now on
+    // they are refused like the tickets of a home that is gone.
     fn drop_homes_above_limit(&mut self) {
         while self.homes.len() > self.limits.adopted_homes.max(1) {
             let window = self.homes.remove(1);
@@ -137,6 +137,6 @@
     }
 }
 
-// A home hands over once in its life, within seconds; this is for a repeated
-// frame of it that comes after eight further homes were adopted.
+// Recognizes a repeated handover frame of a home that has been dropped again because eight further
+// homes were adopted. A home hands over only once, and within seconds.
 const DROPPED_HOMES_REMEMBERED: usize = 256;
