--- a/crates/hemlocktack-platform/src/budget.rs
+++ b/crates/hemlocktack-platform/src/budget.rs
@@ -1,59 +1,59 @@
-//! A node's share of the platform's rates.
+//! Rate limits on a node's calls to the platform.
 //!
-//! The platform counts each call, and its rates grow more slowly than the
-//! fleet. Without a limit of its own, a node in a loop (a record that two
-//! processes fight over, a watch that fails at once) could take the share of
-//! all others, and operators' changes would be refused by the platform.
+//! The platform rate-limits all calls together, and its limits grow more slowly than the fleet.
+//! Without a limit of its own, a node in a loop (two processes overwriting the same record, a watch
+//! that fails immediately) could use up the share of all others, and the platform would reject
+//! operators' changes.
 
 use std::time::{Duration, Instant};
 
-/// One token bucket.
+/// Rate and size of a token bucket.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rate {
-    /// Calls a second in the long run.
+    /// Sustained calls per second.
     pub calls_per_second: f64,
-    /// Calls that can be saved up.
+    /// Size of the bucket: calls that can be made at once.
     pub burst: f64,
 }
 
-/// Reads (a watch is one) and writes apart, as the platform counts them.
+/// Separate limits for reads and writes, as the platform counts them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetSettings {
-    /// Gets, lists and watches.
+    /// Limit on gets, lists and watches.
     pub reads: Rate,
-    /// Puts and deletes.
+    /// Limit on puts and deletes.
     pub writes: Rate,
 }
 
-/// At 560 nodes 1,120 reads a second, of the about 2,000 that the platform takes.
+/// With 560 nodes 1,120 reads per second, of about 2,000 that the platform accepts.
 const READS: Rate = Rate {
     calls_per_second: 2.0,
     burst: 40.0,
 };
-/// At 560 nodes 280 writes a second, of the several hundred that the platform takes.
+/// With 560 nodes 280 writes per second, of the several hundred that the platform accepts.
 const WRITES: Rate = Rate {
     calls_per_second: 0.5,
     burst: 20.0,
 };
 
-/// Part of the platform's rates that the whole fleet may use up. The rest is for
-/// operators and for shares that overlap while members come and go.
+/// Fraction of the platform's rates that the whole fleet may use. The rest is left for operators
+/// and for shares that overlap while nodes join and leave.
 const FLEET_SHARE: f64 = 0.5;
 
-/// For rates that earn next to nothing: settings may change meanwhile.
-const LONGEST_WAIT: Duration = Duration::from_secs(24 * 60 * 60);
+/// Caps the wait at very low rates, since settings may change meanwhile.
+const MAX_WAIT: Duration = Duration::from_secs(24 * 60 * 60);
 
-/// What the platform takes from all nodes together.
+/// Rates that the platform accepts from all nodes together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PlatformRates {
-    /// Gets, lists and watches a second.
+    /// Gets, lists and watches per second.
     pub reads_per_second: f64,
-    /// Puts and deletes a second.
+    /// Puts and deletes per second.
     pub writes_per_second: f64,
 }
 
 impl PlatformRates {
-    /// Calls a second that one of so many nodes may make.
+    /// Returns one node's share of a total rate, in calls per second.
     pub(crate) fn share(total_per_second: f64, nodes: usize) -> f64 {
         total_per_second * FLEET_SHARE / nodes.max(1) as f64
     }
@@ -68,41 +68,41 @@
     }
 }
 
-/// What is left of one rate.
+/// Token bucket that limits the rate of calls.
 #[derive(Clone, Debug)]
 pub struct Budget {
     rate: Rate,
-    saved: f64,
-    counted_at: Instant,
+    tokens: f64,
+    refilled_at: Instant,
 }
 
 impl Budget {
-    /// Starts with the whole burst saved up.
+    /// Creates a full bucket.
     pub fn new(rate: Rate, now: Instant) -> Budget {
         Budget {
             rate,
-            saved: rate.burst,
-            counted_at: now,
+            tokens: rate.burst,
+            refilled_at: now,
         }
     }
 
-    /// Changes what is earned a second; what is saved up stays.
+    /// Changes the refill rate; the current tokens stay.
     pub fn set_calls_per_second(&mut self, calls_per_second: f64) {
         self.rate.calls_per_second = calls_per_second;
     }
 
-    /// Takes one call, or says how long until there is one.
+    /// Takes a token for one call, or returns the time until one is available.
     pub fn take(&mut self, now: Instant) -> std::result::Result<(), Duration> {
-        let elapsed = now.saturating_duration_since(self.counted_at);
-        let earned = elapsed.as_secs_f64() * self.rate.calls_per_second;
-        self.saved = (self.saved + earned).min(self.rate.burst);
-        self.counted_at = now;
-        if self.saved < 1.0 {
-            let missing_s = (1.0 - self.saved) / self.rate.calls_per_second;
-            let wait = Duration::try_from_secs_f64(missing_s).unwrap_or(LONGEST_WAIT);
-            return Err(wait.min(LONGEST_WAIT));
+        let elapsed = now.saturating_duration_since(self.refilled_at);
+        let refill = elapsed.as_secs_f64() * self.rate.calls_per_second;
+        self.tokens = (self.tokens + refill).min(self.rate.burst);
+        self.refilled_at = now;
+        if self.tokens < 1.0 {
+            let shortfall_s = (1.0 - self.tokens) / self.rate.calls_per_second;
+            let wait = Duration::try_from_secs_f64(shortfall_s).unwrap_or(MAX_WAIT);
+            return Err(wait.min(MAX_WAIT));
         }
-        self.saved -= 1.0;
+        self.tokens -= 1.0;
         Ok(())
     }
 }
--- a/crates/hemlocktack-platform/src/client.rs
+++ b/crates/hemlocktack-platform/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls of the object API over HTTP.
+//! HTTP client of the object API.
 
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -17,34 +17,34 @@
 /// Largest value that the platform stores.
 pub const VALUE_LIMIT_BYTES: usize = 1 << 20;
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// A connection that has gone silent, behind a cut or for good, must not hold a
-/// watch for its whole wait: it is probed after this, and given up when so many
-/// probes have met silence.
-const SILENCE_PROBED_AFTER: Duration = Duration::from_secs(1);
-const SILENCE_PROBES: u32 = 2;
-/// The platform answers in milliseconds; what takes longer is an outage.
+/// TCP keep-alive: a connection whose peer has become unreachable must not block a watch for its
+/// whole wait. It is probed after this idle time and closed after `KEEPALIVE_PROBES` unanswered
+/// probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+const KEEPALIVE_PROBES: u32 = 2;
+/// The platform responds in milliseconds; a call that takes this long is part of an outage.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How the platform is called.
+/// Settings of a [`Client`].
 #[derive(Clone, Debug)]
 pub struct ClientSettings {
     /// Base address such as `http://127.0.0.1:7000`.
     pub base_url: String,
-    /// This node's share of the platform's rates.
+    /// Limits on this node's calls.
     pub budget: BudgetSettings,
-    /// What the platform takes from all nodes, where that is known: the budget
-    /// then follows the size of the fleet.
+    /// Rates that the platform accepts from all nodes, if known: the budget is then divided by the
+    /// number of nodes.
     pub rates: Option<PlatformRates>,
     /// Waits after failures.
     pub backoff: BackoffSettings,
-    /// After which a call counts as failed; a watch waits longer by its own wait.
+    /// Timeout of a call; that of a watch is longer by the watch's own wait.
     pub call_timeout: Duration,
-    /// How the platform encodes calls and answers.
+    /// Wire format of the platform.
     pub codec: StoreCodec,
 }
 
 impl ClientSettings {
-    /// Usual limits.
+    /// Returns settings with default limits.
     pub fn new(base_url: &str) -> ClientSettings {
         ClientSettings {
             base_url: base_url.trim_end_matches('/').to_owned(),
@@ -57,8 +57,8 @@
     }
 }
 
-/// A node's client of the platform; shared by all that call it, so that they
-/// share one budget and one backoff.
+/// A node's client of the platform. The whole node shares one client, and with it one budget and
+/// one backoff.
 #[derive(Debug)]
 pub struct Client {
     settings: ClientSettings,
@@ -77,7 +77,7 @@
 }
 
 impl Limits {
-    fn share_rates(&mut self) {
+    fn apply_rates(&mut self) {
         let Some(rates) = self.rates else {
             return;
         };
@@ -89,10 +89,11 @@
 }
 
 impl Client {
-    /// Does not connect yet.
+    /// Creates a client without connecting.
     ///
     /// # Errors
-    /// `BadAddress` where the base URL is none; `Unavailable` where the HTTP client cannot be made on this machine.
+    /// `BadAddress` if the base URL is invalid; `Unavailable` if the HTTP client cannot be created
+    /// on this machine.
     pub fn new(settings: ClientSettings) -> Result<Client> {
         let base_url = settings.base_url.parse().map_err(|_| Error::BadAddress {
             base_url: settings.base_url.clone(),
@@ -100,10 +101,10 @@
         let http = reqwest::Client::builder()
             .connect_timeout(CONNECT_TIMEOUT)
             .tcp_nodelay(true)
-            .tcp_keepalive(SILENCE_PROBED_AFTER)
-            .tcp_keepalive_interval(SILENCE_PROBED_AFTER)
-            .tcp_keepalive_retries(SILENCE_PROBES)
-            .tcp_user_timeout(SILENCE_PROBED_AFTER * SILENCE_PROBES)
+            .tcp_keepalive(KEEPALIVE_INTERVAL)
+            .tcp_keepalive_interval(KEEPALIVE_INTERVAL)
+            .tcp_keepalive_retries(KEEPALIVE_PROBES)
+            .tcp_user_timeout(KEEPALIVE_INTERVAL * KEEPALIVE_PROBES)
             .no_proxy()
             .build()
             .map_err(|error| unavailable(Effect::None, &error, Duration::ZERO))?;
@@ -123,32 +124,32 @@
         })
     }
 
-    /// Whether the last call was answered; also before the first call.
+    /// Returns whether the last call got a valid response; also true before the first call.
     pub fn is_answering(&self) -> bool {
         let limits = self.limits.lock().unwrap_or_else(PoisonError::into_inner);
         !limits.backoff.is_failing()
     }
 
-    /// Tells how many nodes share the platform's rates.
+    /// Sets how many nodes share the platform's rates.
     pub fn set_node_count(&self, nodes: usize) {
         let mut limits = self.limits.lock().unwrap_or_else(PoisonError::into_inner);
         limits.nodes = nodes;
-        limits.share_rates();
+        limits.apply_rates();
     }
 
-    /// Tells what the platform takes from all nodes, where that has changed.
+    /// Sets the rates that the platform accepts from all nodes.
     pub fn set_rates(&self, rates: Option<PlatformRates>) {
         let mut limits = self.limits.lock().unwrap_or_else(PoisonError::into_inner);
         limits.rates = rates;
-        limits.share_rates();
+        limits.apply_rates();
     }
 
-    /// The wire format that calls are made in.
+    /// Returns the wire format of the platform.
     pub(crate) fn codec(&self) -> &StoreCodec {
         &self.settings.codec
     }
 
-    /// One object; `None` where it does not exist.
+    /// Reads an object; `None` if it does not exist.
     ///
     /// # Errors
     /// See [`Error`].
@@ -159,7 +160,7 @@
         not_found_as_none(got.await)
     }
 
-    /// All objects whose key begins with the prefix.
+    /// Lists all objects whose keys begin with the prefix.
     ///
     /// # Errors
     /// See [`Error`].
@@ -167,7 +168,7 @@
         self.list_pages(prefix, false).await
     }
 
-    /// As `list`, with null in place of each value.
+    /// Like `list`, with null in place of each value.
     ///
     /// # Errors
     /// See [`Error`].
@@ -175,8 +176,8 @@
         self.list_pages(prefix, true).await
     }
 
-    /// Pages may be of different revisions; what changed between them is told
-    /// by a watch from the first one.
+    /// Reads all pages of a list. Pages may have different revisions; a watch from the first page's
+    /// revision reports what changed between them.
     async fn list_pages(&self, prefix: &str, keys_only: bool) -> Result<Listing> {
         let read = self.codec().read_listing;
         let mut whole: Option<Listing> = None;
@@ -201,10 +202,10 @@
         }
     }
 
-    /// Waits for changes under the prefix after the revision, `wait` at most.
+    /// Waits up to `wait` for changes under the prefix after the revision.
     ///
     /// # Errors
-    /// See [`Error`]; `RevisionGone` where the objects have to be listed anew.
+    /// See [`Error`]; after `RevisionGone` the objects have to be listed again.
     pub async fn watch(
         &self,
         prefix: &str,
@@ -218,11 +219,12 @@
         got.await.map_err(CallError::into_error)
     }
 
-    /// Replaces the object's value if it has the expected version (0: does not exist).
+    /// Replaces the value of an object if it has the expected version; 0 means that it must not
+    /// exist.
     ///
     /// # Errors
-    /// See [`Error`]. With `Effect::Possible` the caller does not know whether
-    /// the value was stored; `put_confirmed` finds out.
+    /// See [`Error`]. With `Effect::Possible` it is not known whether the value was stored;
+    /// `put_confirmed` finds out.
     pub async fn put_conditional(
         &self,
         key: &str,
@@ -244,8 +246,7 @@
         }
     }
 
-    /// Deletes the object if it has the expected version. One that does not
-    /// exist is deleted already.
+    /// Deletes the object if it has the expected version. Succeeds if the object does not exist.
     ///
     /// # Errors
     /// See [`Error`].
@@ -298,8 +299,8 @@
     ) -> std::result::Result<T, CallError> {
         self.admit(access, Instant::now())?;
         let request = self.request(call, timeout);
-        let read_refusal = self.codec().read_refusal;
-        let result = exchange(access, request, read_refusal, read).await;
+        let read_error = self.codec().read_error;
+        let result = exchange(access, request, read_error, read).await;
         let failed = matches!(
             result,
             Err(CallError::Failed(
@@ -307,7 +308,7 @@
             ))
         );
         let wait = self.record(failed, Instant::now());
-        result.map_err(|error| error.with_wait(wait))
+        result.map_err(|error| error.with_retry_after(wait))
     }
 
     fn admit(&self, access: Access, now: Instant) -> Result<()> {
@@ -315,7 +316,7 @@
         if let Some(wait) = limits.backoff.wait(now) {
             return Err(Error::Unavailable {
                 effect: Effect::None,
-                detail: "not asked: it failed lately".to_owned(),
+                detail: "not called: waiting after a failure".to_owned(),
                 retry_after: wait,
             });
         }
--- a/crates/hemlocktack-platform/src/configuration.rs
+++ b/crates/hemlocktack-platform/src/configuration.rs
@@ -1,9 +1,8 @@
-//! The operators' configuration in the platform.
+//! The operators' configuration, stored in the platform.
 //!
-//! `configuration/current` alone decides what is accepted. Before it is
-//! replaced, it is copied to the history, so that every replaced generation
-//! can be found there: that is how a repeated change is recognised after
-//! others came on top of it.
+//! A change is accepted if and only if it replaces `configuration/current`. Before the object is
+//! replaced, it is copied to the history, so that the history contains every replaced generation.
+//! That is how a repeated change is recognised after newer changes have followed it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,62 +14,62 @@
 
 const CURRENT_KEY: &str = "configuration/current";
 const HISTORY_PREFIX: &str = "configuration/history/";
-/// Replaced generations that are kept: more than half a day's changes of one team.
+/// Number of replaced generations that are kept: more than one team's changes of half a day.
 pub const HISTORY_LENGTH: u64 = 64;
-/// Each entry costs a read, so a query stays below the saved-up budget.
+/// Each entry costs a read, so this keeps a query below the burst of the read budget.
 const HISTORY_QUERY_LIMIT: usize = 20;
-/// Old entries deleted with one change; one a change keeps the length, more catches up.
+/// Old entries deleted per change. One would keep the length constant; the second catches up after
+/// failed deletions.
 const PRUNE_LIMIT: usize = 2;
 
-/// A configuration with the version it is stored under.
+/// A configuration with its stored version.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoredConfiguration {
-    /// For the next conditional write.
+    /// Version to expect in the next conditional write.
     pub version: Version,
     /// The stored document.
     pub configuration: ConfigurationDocument,
 }
 
-/// What an answer told of the configuration.
+/// The configuration at one revision of the store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigurationSnapshot {
-    /// Revision of the store to watch from next. It grows with every object's
-    /// writes, so the store still knows it when the configuration's own version
-    /// is long forgotten.
+    /// Store revision to watch from next. It grows with writes to any object, so the store still
+    /// knows it after it has compacted the configuration's own version.
     pub revision: Revision,
-    /// The configuration, where there is one, or a newer one.
+    /// The configuration; `None` if there is none, or none newer in response to a watch.
     pub stored: Option<StoredConfiguration>,
 }
 
-/// A change that an operator asks for.
+/// A configuration change requested by an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// Already checked text of the document.
+    /// Text of the document, already checked.
     pub document: String,
-    /// Generation that the edit started from; 0 for the first one.
+    /// Generation that the edit is based on; 0 for the first configuration.
     pub expected_generation: Generation,
-    /// Chosen by the operator's side, not empty; the same in each repeat.
+    /// Idempotency key chosen by the operator's client; not empty, the same in every repeat.
     pub change_id: String,
-    /// Who asked for it.
+    /// Who requested the change.
     pub author: String,
 }
 
-/// What became of a change.
+/// Result of applying a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Applied {
-    /// It is stored now.
+    /// The change is stored.
     Stored {
-        /// Its generation.
+        /// Generation of the change.
         generation: Generation,
     },
-    /// An earlier send of the same change stored it.
+    /// An earlier request with the same change stored it.
     AlreadyApplied {
-        /// Its generation.
+        /// Generation of the change.
         generation: Generation,
     },
-    /// The edit started from a generation that is not the newest; nothing is stored.
+    /// The edit is not based on the newest generation; nothing is stored.
     GenerationConflict {
-        /// The newest generation, 0 where there is none.
+        /// The newest generation; 0 if there is none.
         current_generation: Generation,
     },
     /// Another document was stored under this change id; nothing is stored.
@@ -87,12 +86,12 @@
 }
 
 impl ConfigurationStore {
-    /// A store that shares the client's budget.
+    /// Creates a store that uses the client and its budget.
     pub fn new(client: Arc<Client>) -> ConfigurationStore {
         ConfigurationStore { client }
     }
 
-    /// The newest configuration; `None` before the first one.
+    /// Reads the newest configuration; `None` before the first one.
     ///
     /// # Errors
     /// See [`Error`].
@@ -101,7 +100,7 @@
         object.map(|object| self.decode(object)).transpose()
     }
 
-    /// A configuration by its generation; `None` where it never was or is no longer kept.
+    /// Reads a configuration by its generation; `None` if it never existed or is no longer kept.
     ///
     /// # Errors
     /// See [`Error`].
@@ -114,7 +113,7 @@
         }
     }
 
-    /// The newest configurations, newest first, with their documents.
+    /// Returns the latest configurations with their documents, newest first.
     ///
     /// # Errors
     /// See [`Error`].
@@ -136,7 +135,7 @@
         Ok(changes)
     }
 
-    /// The newest configuration and the revision to watch from.
+    /// Reads the newest configuration and the revision to watch from.
     ///
     /// # Errors
     /// See [`Error`].
@@ -150,12 +149,12 @@
         })
     }
 
-    /// Waits for a configuration stored after the revision, `wait` at most;
-    /// none where there is none in time.
+    /// Waits up to `wait` for a configuration stored after the revision; `stored` is `None` if
+    /// there is none in time.
     ///
     /// # Errors
-    /// See [`Error`]. `RevisionGone`: to be read with `read_with_revision`, and
-    /// watched from the revision that it tells, after a pause.
+    /// See [`Error`]. After `RevisionGone`, pause, call `read_with_revision` and watch from the
+    /// revision it returns.
     pub async fn watch_newer(
         &self,
         after: Revision,
@@ -177,21 +176,21 @@
         })
     }
 
-    /// Stores a change if the newest generation is the one it started from.
+    /// Stores a change if it is based on the newest generation.
     ///
-    /// Accepted means stored: `Stored` and `AlreadyApplied` are said only of
-    /// what the platform has confirmed or what was read back.
+    /// Accepted means stored: `Stored` and `AlreadyApplied` are returned only for a change that the
+    /// platform has confirmed or that was read back.
     ///
     /// # Errors
-    /// See [`Error`]. With `Effect::Possible` it is not known whether the
-    /// change is stored; to send it again with the same change id is safe.
+    /// See [`Error`]. With `Effect::Possible` it is not known whether the change is stored; sending
+    /// it again with the same change id is safe.
     pub async fn apply(&self, change: &Change) -> Result<Applied> {
         let newest = self.read_newest().await?;
         let newest_generation = newest
             .as_ref()
             .map_or(0, |stored| stored.configuration.generation);
         if newest_generation != change.expected_generation {
-            return self.settle(change, newest.as_ref()).await;
+            return self.detect_repeat(change, newest.as_ref()).await;
         }
         let mut expected_version = 0;
         if let Some(newest) = &newest {
@@ -221,29 +220,28 @@
                     generation: next.generation,
                 })
             }
-            Err(Error::Conflict { .. }) => self.settle_after_conflict(change).await,
+            Err(Error::Conflict { .. }) => self.detect_repeat_after_conflict(change).await,
             Err(error) => Err(error),
         }
     }
 
-    /// The conflict may be with another's change, or with ones on top of this
-    /// one after its answer was lost. While that cannot be read, the change
-    /// may be stored.
-    async fn settle_after_conflict(&self, change: &Change) -> Result<Applied> {
-        let settled = async {
+    /// Resolves a conflict: either another change came first, or this one was stored, its response
+    /// was lost, and newer changes followed. If the store cannot be read, the change may be stored.
+    async fn detect_repeat_after_conflict(&self, change: &Change) -> Result<Applied> {
+        let repeat = async {
             let newest = self.read_newest().await?;
-            self.settle(change, newest.as_ref()).await
+            self.detect_repeat(change, newest.as_ref()).await
         };
-        settled.await.map_err(|error| Error::Unavailable {
+        repeat.await.map_err(|error| Error::Unavailable {
             effect: Effect::Possible,
-            detail: format!("cannot read what is stored: {error}"),
+            detail: format!("cannot read the stored configuration: {error}"),
             retry_after: error.retry_after().unwrap_or_default(),
         })
     }
 
-    /// The newest generation is not the expected one: a repeat of a change
-    /// that was stored, or another one's change came first.
-    async fn settle(
+    /// Decides, when the newest generation is not the expected one, whether the change repeats one
+    /// that is already stored or conflicts with another operator's change.
+    async fn detect_repeat(
         &self,
         change: &Change,
         newest: Option<&StoredConfiguration>,
@@ -255,17 +253,17 @@
         if generation > current_generation {
             return Ok(conflict);
         }
-        let follower = match newest {
+        let successor = match newest {
             Some(newest) if newest.generation == generation => Some(newest.clone()),
             _ => self.read_history(generation).await?,
         };
-        let Some(follower) = follower else {
+        let Some(successor) = successor else {
             return Ok(conflict);
         };
-        if follower.change_id != change.change_id {
+        if successor.change_id != change.change_id {
             return Ok(conflict);
         }
-        if follower.document != change.document {
+        if successor.document != change.document {
             return Ok(Applied::ChangeIdReused { generation });
         }
         Ok(Applied::AlreadyApplied { generation })
@@ -273,7 +271,8 @@
 
     fn encode(&self, configuration: &ConfigurationDocument) -> Result<Value> {
         let Some(write) = self.client.codec().write_configuration else {
-            let detail = "the configuration is written with the operators' own tools";
+            let detail =
+                "this platform's configuration can only be written with the operators' own tools";
             return Err(malformed(detail.to_owned()));
         };
         write(configuration).map_err(malformed)
@@ -295,17 +294,18 @@
         Ok(stored.map(|stored| stored.configuration))
     }
 
-    /// A conflict means that it is there: racing operators copy the same document.
+    /// Copies a configuration to the history. A conflict means that the copy exists already:
+    /// concurrent operators copy the same document.
     async fn copy_to_history(&self, configuration: &ConfigurationDocument) -> Result<()> {
         let key = history_key(configuration.generation);
         let value = self.encode(configuration)?;
         match self.client.put_confirmed(&key, 0, &value).await {
             Ok(_) | Err(Error::Conflict { .. }) => Ok(()),
-            Err(error) => Err(without_effect(error)),
+            Err(error) => Err(with_no_effect(error)),
         }
     }
 
-    /// What fails here is caught up with a later change.
+    /// Deletes outdated entries of the history. Failed deletions are repeated with a later change.
     async fn prune_history(&self, newest_generation: Generation) {
         let Some(oldest_kept) = newest_generation.checked_sub(HISTORY_LENGTH) else {
             return;
@@ -321,19 +321,19 @@
         for object in outdated.take(PRUNE_LIMIT) {
             let deleted = self.client.delete(&object.key, object.version).await;
             if let Err(error) = deleted {
-                tracing::debug!(%error, key = object.key, "an old configuration stays for now");
+                tracing::debug!(%error, key = object.key, "cannot delete an old configuration yet");
             }
         }
     }
 }
 
-/// Keys sort as generations do.
+/// Returns the key of a generation, zero-padded so that keys sort in generation order.
 fn history_key(generation: Generation) -> String {
     format!("{HISTORY_PREFIX}{generation:020}")
 }
 
-/// The change itself was not sent yet, whatever became of the history's copy.
-fn without_effect(error: Error) -> Error {
+/// Clears the effect of a failed copy to the history: the change itself has not been sent yet.
+fn with_no_effect(error: Error) -> Error {
     match error {
         Error::Unavailable {
             detail,
--- a/crates/hemlocktack-platform/src/error.rs
+++ b/crates/hemlocktack-platform/src/error.rs
@@ -1,4 +1,4 @@
-//! What a caller of the client sees of a fault.
+//! Errors of the platform client.
 
 use std::time::Duration;
 
@@ -12,68 +12,68 @@
 /// Whether a failed write may have changed the object.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Effect {
-    /// It did not: the request never reached the platform or was refused whole.
-    #[display("it had no effect")]
+    /// It did not: the request did not reach the platform or was rejected.
+    #[display("the call had no effect")]
     None,
-    /// It may have: the answer was lost.
-    #[display("it may have taken effect")]
+    /// It may have: the response was lost.
+    #[display("the call may have taken effect")]
     Possible,
 }
 
-/// Why a call failed.
+/// Error of a call to the platform.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum Error {
-    /// The object has another version than the expected one.
-    #[display("the object has version {current_version} by now")]
+    /// The object does not have the expected version.
+    #[display("version conflict: the object has version {current_version}")]
     Conflict {
-        /// 0 where it does not exist.
+        /// Version of the object; 0 if it does not exist.
         current_version: Version,
     },
-    /// The platform did not answer, or was not asked because it failed lately.
+    /// The platform did not respond, or the call was blocked by the backoff after a failure.
     #[display("the platform is unavailable ({detail}); {effect}")]
     Unavailable {
         /// Whether a write may have taken effect.
         effect: Effect,
-        /// What was seen.
+        /// Cause of the failure.
         detail: String,
-        /// When it makes sense to ask again.
+        /// Time after which to try again.
         retry_after: Duration,
     },
     /// The value is over the platform's limit.
     #[display("the value is larger than {limit_bytes} bytes")]
     TooLarge {
-        /// Largest value that is stored.
+        /// Size of the largest value that the platform stores.
         limit_bytes: usize,
     },
-    /// The answer or the object is not what the interface says.
-    #[display("the platform answered something else than its interface says ({detail}); {effect}")]
+    /// The response or the object does not conform to the interface.
+    #[display("the platform's response does not conform to its interface ({detail}); {effect}")]
     Malformed {
         /// Whether a write may have taken effect.
         effect: Effect,
-        /// What was seen.
+        /// What does not conform.
         detail: String,
-        /// When it makes sense to ask again; `None` for an object that cannot be read.
+        /// Time after which to try again; `None` for an object that cannot be decoded.
         retry_after: Option<Duration>,
     },
-    /// The platform cannot watch from that revision: list again.
-    #[display("the platform cannot tell the changes after this revision")]
+    /// The platform cannot watch from that revision; list the objects again.
+    #[display("the platform no longer has the changes after this revision")]
     RevisionGone,
-    /// The settings name no usable address.
-    #[display("{base_url:?} is not the platform's address")]
+    /// The platform's address in the settings is invalid.
+    #[display("invalid platform address {base_url:?}")]
     BadAddress {
-        /// As in the settings.
+        /// Address as in the settings.
         base_url: String,
     },
-    /// This node has used up its share of the platform's rates.
-    #[display("the node's budget of calls to the platform is spent")]
+    /// This node has used up its budget of calls to the platform.
+    #[display("the node's budget of calls to the platform is used up")]
     BudgetSpent {
-        /// When there is budget for one call again.
+        /// Time until the budget allows another call.
         retry_after: Duration,
     },
 }
 
 impl Error {
-    /// Whether the failed write may have changed the object all the same.
+    /// Returns whether the failed write may have changed the object.
     pub fn effect(&self) -> Effect {
         match self {
             Error::Unavailable { effect, .. } | Error::Malformed { effect, .. } => *effect,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// How long to wait before asking again; `None` where asking again does not help.
+    /// Returns how long to wait before trying again; `None` if that would not help.
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
             Error::Unavailable { retry_after, .. } | Error::BudgetSpent { retry_after } => {
--- a/crates/hemlocktack-platform/src/exchange.rs
+++ b/crates/hemlocktack-platform/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange with the platform over HTTP, and what its failures mean.
+//! One HTTP exchange with the platform, and the classification of its failures.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use crate::store_codec::{DecodeResult, StoreError};
 use crate::{Effect, Error, Result};
 
-/// Larger answers are not read to their end: a list of 560 records is under 1 MiB.
+/// Larger responses are not read to the end; a list of 560 records is under 1 MiB.
 const ANSWER_LIMIT_BYTES: usize = 32 << 20;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -19,7 +19,7 @@
 }
 
 impl Access {
-    /// What a lost answer may mean.
+    /// Returns the possible effect of a request whose response was lost.
     fn effect_of_lost_answer(self) -> Effect {
         match self {
             Access::Read => Effect::None,
@@ -28,7 +28,7 @@
     }
 }
 
-/// Why a call gave no value: the object does not exist, or it failed.
+/// Why a call returned no value: the object does not exist, or the call failed.
 pub(crate) enum CallError {
     NotFound,
     Failed(Error),
@@ -41,18 +41,18 @@
 }
 
 impl CallError {
-    /// For calls that no missing object can answer.
+    /// Converts the error of a call for which "not found" is not a valid response.
     pub(crate) fn into_error(self) -> Error {
         match self {
             CallError::NotFound => malformed(
                 Effect::None,
-                "a missing object where none was asked for".to_owned(),
+                "\"not found\" in response to a call that names no single object".to_owned(),
             ),
             CallError::Failed(error) => error,
         }
     }
 
-    pub(crate) fn with_wait(self, wait: Duration) -> CallError {
+    pub(crate) fn with_retry_after(self, wait: Duration) -> CallError {
         let CallError::Failed(error) = self else {
             return self;
         };
@@ -83,59 +83,59 @@
 pub(crate) async fn exchange<T>(
     access: Access,
     request: RequestBuilder,
-    read_refusal: fn(StatusCode, &[u8]) -> StoreError,
+    read_error: fn(StatusCode, &[u8]) -> StoreError,
     read: impl FnOnce(&[u8]) -> DecodeResult<T>,
 ) -> std::result::Result<T, CallError> {
-    let lost = access.effect_of_lost_answer();
+    let effect_if_lost = access.effect_of_lost_answer();
     let response = request.send().await.map_err(|error| {
         let effect = if error.is_connect() {
             Effect::None
         } else {
-            lost
+            effect_if_lost
         };
         unavailable(effect, &error, Duration::ZERO)
     })?;
     let status = response.status();
-    let body = read_whole(response, lost).await?;
+    let body = read_body(response, effect_if_lost).await?;
     if !status.is_success() {
-        return Err(refused(read_refusal(status, &body), lost));
+        return Err(into_call_error(read_error(status, &body), effect_if_lost));
     }
-    let value = read(&body).map_err(|detail| malformed(lost, detail))?;
+    let value = read(&body).map_err(|detail| malformed(effect_if_lost, detail))?;
     Ok(value)
 }
 
-async fn read_whole(mut response: Response, lost: Effect) -> Result<Bytes> {
+async fn read_body(mut response: Response, effect_if_lost: Effect) -> Result<Bytes> {
     let mut body = Vec::new();
     loop {
         let chunk = response.chunk().await;
-        let chunk = chunk.map_err(|error| unavailable(lost, &error, Duration::ZERO))?;
+        let chunk = chunk.map_err(|error| unavailable(effect_if_lost, &error, Duration::ZERO))?;
         let Some(chunk) = chunk else {
             return Ok(Bytes::from(body));
         };
         if body.len() + chunk.len() > ANSWER_LIMIT_BYTES {
             return Err(malformed(
-                lost,
-                format!("an answer over {ANSWER_LIMIT_BYTES} bytes"),
+                effect_if_lost,
+                format!("the response is larger than {ANSWER_LIMIT_BYTES} bytes"),
             ));
         }
         body.extend_from_slice(&chunk);
     }
 }
 
-fn refused(refusal: StoreError, lost: Effect) -> CallError {
+fn into_call_error(error: StoreError, effect_if_lost: Effect) -> CallError {
     let unavailable = |effect, detail| Error::Unavailable {
         effect,
         detail,
         retry_after: Duration::ZERO,
     };
-    CallError::Failed(match refusal {
+    CallError::Failed(match error {
         StoreError::NotFound => return CallError::NotFound,
         StoreError::Conflict(current_version) => Error::Conflict { current_version },
         StoreError::TooLarge => too_large(),
         StoreError::RevisionGone => Error::RevisionGone,
         StoreError::NotApplied(detail) => unavailable(Effect::None, detail),
-        StoreError::Failed(detail) => unavailable(lost, detail),
-        StoreError::Malformed(detail) => malformed(lost, detail),
+        StoreError::Failed(detail) => unavailable(effect_if_lost, detail),
+        StoreError::Malformed(detail) => malformed(effect_if_lost, detail),
     })
 }
 
--- a/crates/hemlocktack-platform/src/lib.rs
+++ b/crates/hemlocktack-platform/src/lib.rs
@@ -1,7 +1,6 @@
-//! Client of the platform's object API, and the objects that the system keeps there.
+//! Client of the platform's object API, and the objects that the system stores there.
 //!
-//! What the platform gives, and what a caller of the client sees of its
-//! faults, is in docs/interfaces/platform.md.
+//! docs/interfaces/platform.md describes the API and how the client reports its failures.
 
 mod backoff;
 mod budget;
--- a/crates/hemlocktack-platform/src/native_codec.rs
+++ b/crates/hemlocktack-platform/src/native_codec.rs
@@ -1,4 +1,4 @@
-//! The wire format of docs/interfaces/platform.md.
+//! The wire format described in docs/interfaces/platform.md.
 
 use std::time::Duration;
 
@@ -12,10 +12,10 @@
 use crate::store_codec::{DecodeResult, ListingPage, StoreCall, StoreCodec, StoreError};
 use crate::{Object, Revision, Version};
 
-/// Error of a 404 that speaks of an object.
+/// Error code of a 404 response for a missing object.
 const NOT_FOUND: &str = "not-found";
 
-/// The product's own wire format.
+/// The project's own wire format.
 pub const NATIVE_CODEC: StoreCodec = StoreCodec {
     get,
     list,
@@ -27,7 +27,7 @@
     read_watched: |_, body| read(body),
     read_written: |body| read::<Written>(body).map(|written| written.version),
     read_deleted: |body| read::<Written>(body).map(|_| ()),
-    read_refusal,
+    read_error,
     read_configuration,
     write_configuration: Some(write_configuration),
 };
@@ -102,9 +102,9 @@
     })
 }
 
-/// A 404 without the API's own error comes from something that is not the
-/// object API, and must not be taken for "there is no configuration yet".
-fn read_refusal(status: StatusCode, body: &[u8]) -> StoreError {
+/// Decodes an error response. A 404 without the API's error code comes from something other than
+/// the object API, and must not be mistaken for "there is no configuration yet".
+fn read_error(status: StatusCode, body: &[u8]) -> StoreError {
     let body: ErrorBody = serde_json::from_slice(body).unwrap_or_default();
     match (status, body.current_version) {
         (StatusCode::NOT_FOUND, _) if body.error == NOT_FOUND => StoreError::NotFound,
@@ -112,7 +112,7 @@
         (StatusCode::PAYLOAD_TOO_LARGE, _) => StoreError::TooLarge,
         (StatusCode::GONE, _) => StoreError::RevisionGone,
         (StatusCode::TOO_MANY_REQUESTS, _) => {
-            StoreError::NotApplied("its rates are used up".to_owned())
+            StoreError::NotApplied("rate limit exceeded".to_owned())
         }
         (status, _) if status.is_server_error() => StoreError::Failed(format!("status {status}")),
         _ => StoreError::Malformed(format!("status {status} with error {:?}", body.error)),
--- a/crates/hemlocktack-platform/src/nodes.rs
+++ b/crates/hemlocktack-platform/src/nodes.rs
@@ -1,7 +1,7 @@
-//! One record a node, from which other nodes and operators learn of it.
+//! One record per node, through which other nodes and operators discover it.
 //!
-//! A hint: no promise rests on it. Nodes learn of each other's end from each
-//! other, so a record is refreshed seldom.
+//! Records are only hints; no guarantee depends on them. Nodes detect each other's failures
+//! themselves, so a record is refreshed rarely.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -11,53 +11,53 @@
 use crate::{Client, Effect, Error, Object, Result, Revision, Version};
 
 const PREFIX: &str = "nodes/";
-/// The record changed under a publication this many times: leave it for the next refresh.
-const TRY_LIMIT: usize = 3;
+/// Attempts of one publication; after as many conflicting writes the next refresh tries again.
+const ATTEMPT_LIMIT: usize = 3;
 
-/// What became of a publication.
+/// Result of a publication.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Publication {
     /// The record is stored.
     Published,
-    /// A later start of the same node has the record; it was left alone.
+    /// A later start of the same node has written the record; it was not overwritten.
     Replaced {
-        /// The other start.
+        /// Incarnation of the later start.
         by_incarnation: Incarnation,
     },
 }
 
-/// A record with the version it is stored under.
+/// A record with its stored version.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PublishedNode {
-    /// For `delete`.
+    /// Version to pass to `delete`.
     pub version: Version,
-    /// What the node says of itself.
+    /// The node's description of itself.
     pub member: Member,
 }
 
 /// All records at one revision.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PublishedNodes {
-    /// Revision they were read at.
+    /// Revision at which the records were read.
     pub revision: Revision,
-    /// In order of node ids.
+    /// Records in order of node ids.
     pub nodes: Vec<PublishedNode>,
-    /// Records that cannot be read; the others are of use all the same.
+    /// Keys of records that cannot be decoded; the others are returned all the same.
     pub malformed_keys: Vec<String>,
-    /// Entries among them that are not even records with a key.
+    /// Number of listed entries that are not even objects with a key.
     pub unreadable_count: usize,
 }
 
-/// Publishes the own record and reads the others.
+/// Publishes this node's record and reads those of the others.
 #[derive(Debug)]
 pub struct NodeRecords {
     client: Arc<Client>,
-    /// Version of the own record; `None` until this start has published it.
+    /// Version of this node's record; `None` until this start has published it.
     own_version: Mutex<Option<Version>>,
 }
 
 impl NodeRecords {
-    /// Records that share the client's budget.
+    /// Creates a store of records that uses the client and its budget.
     pub fn new(client: Arc<Client>) -> NodeRecords {
         NodeRecords {
             client,
@@ -65,12 +65,11 @@
         }
     }
 
-    /// Stores the own record.
+    /// Stores this node's record.
     ///
-    /// The record of an earlier start is replaced. Once this start has
-    /// published, a record of another incarnation is a later start's: this
-    /// process was paused and its place taken, and were it to write on, each
-    /// would replace the other's record for ever.
+    /// Replaces the record of an earlier start. Once this start has published, a record of another
+    /// incarnation belongs to a later start that replaced this process while it was paused. That
+    /// record is kept: otherwise both processes would overwrite each other's record forever.
     ///
     /// # Errors
     /// See [`Error`].
@@ -78,7 +77,7 @@
         let key = key(&member.node_id);
         let value = serde_json::to_value(member).map_err(|error| malformed(&key, &error))?;
         let mut expected_version = self.own_version().unwrap_or(0);
-        for _ in 0..TRY_LIMIT {
+        for _ in 0..ATTEMPT_LIMIT {
             let stored = self.client.put_confirmed(&key, expected_version, &value);
             match stored.await {
                 Ok(version) => {
@@ -89,7 +88,7 @@
                 Err(error) => return Err(error),
             }
             let found = self.client.get(&key).await?;
-            if let Some(by_incarnation) = self.later_start(member, found.as_ref()) {
+            if let Some(by_incarnation) = self.replaced_by(member, found.as_ref()) {
                 return Ok(Publication::Replaced { by_incarnation });
             }
             expected_version = found.map_or(0, |object| object.version);
@@ -99,10 +98,10 @@
         })
     }
 
-    /// Deletes the own record at a planned stop.
+    /// Deletes this node's record at a planned stop.
     ///
     /// # Errors
-    /// See [`Error`]; `Conflict` where another start has the record by now.
+    /// See [`Error`]; `Conflict` if another start has written the record since.
     pub async fn withdraw(&self, node_id: &str) -> Result<()> {
         let Some(version) = self.own_version() else {
             return Ok(());
@@ -112,7 +111,7 @@
         Ok(())
     }
 
-    /// All records.
+    /// Lists all records.
     ///
     /// # Errors
     /// See [`Error`].
@@ -139,7 +138,7 @@
         })
     }
 
-    /// Deletes the record of a node that is gone, if it is still the one that was read.
+    /// Deletes the record of a node that is gone, unless it has changed since it was read.
     ///
     /// # Errors
     /// See [`Error`].
@@ -148,7 +147,7 @@
         self.client.delete(&key, node.version).await
     }
 
-    fn later_start(&self, own: &Member, found: Option<&Object>) -> Option<Incarnation> {
+    fn replaced_by(&self, own: &Member, found: Option<&Object>) -> Option<Incarnation> {
         self.own_version()?;
         let found = decode(found?.value.clone())?;
         (found.incarnation != own.incarnation).then_some(found.incarnation)
--- a/crates/hemlocktack-platform/src/resolve.rs
+++ b/crates/hemlocktack-platform/src/resolve.rs
@@ -1,4 +1,4 @@
-//! Writes whose answer was lost.
+//! Conditional writes that resolve ambiguous outcomes.
 
 use std::time::{Duration, Instant};
 
@@ -6,78 +6,77 @@
 
 use crate::{Client, Effect, Error, Result, Version};
 
-/// After which a write that is still not resolved is given back as such: an
-/// operator waits for it.
-const RESOLVE_WITHIN: Duration = Duration::from_secs(8);
-/// Sends of one write; bounds what a platform that loses every answer is asked.
-const SEND_LIMIT: usize = 5;
+/// Time after which a write that is still ambiguous is reported as such; an operator is waiting for
+/// the result.
+const RESOLVE_TIMEOUT: Duration = Duration::from_secs(8);
+/// Attempts of one write; bounds the load on a platform whose every response is lost.
+const ATTEMPT_LIMIT: usize = 5;
 
 impl Client {
-    /// As `put_conditional`, and finds out what became of a write whose answer
-    /// was lost.
+    /// Like `put_conditional`, but finds out whether a write whose response was lost took effect.
     ///
-    /// The value must be one that only this write can have stored: it carries
-    /// a change id, say. The same conditional write is sent again; should both
-    /// arrive, the platform refuses the later one, since the version has moved
-    /// on. A conflict after a lost answer is therefore either this write's own
-    /// success or another's, and reading back tells them apart.
+    /// The value must be unique to this write, for example by containing a change id. After a lost
+    /// response the same conditional write is sent again; if both arrive, the platform rejects the
+    /// later one because the version has changed. A conflict after a lost response therefore means
+    /// that this write or another one succeeded, and reading the object back tells which.
     ///
     /// # Errors
-    /// See [`Error`]. `Conflict` after a lost answer can also mean that the
-    /// value was stored and then replaced. `Effect::Possible`: not resolved in
-    /// time; to send the same value again is safe.
+    /// See [`Error`]. `Conflict` after a lost response can also mean that the value was stored and
+    /// then replaced. `Effect::Possible` means that the outcome was not resolved in time; sending
+    /// the same value again is safe.
     pub async fn put_confirmed(
         &self,
         key: &str,
         expected_version: Version,
         value: &Value,
     ) -> Result<Version> {
-        let give_up_at = Instant::now() + RESOLVE_WITHIN;
-        let mut lost: Option<Error> = None;
-        for _ in 0..SEND_LIMIT {
+        let deadline = Instant::now() + RESOLVE_TIMEOUT;
+        let mut lost_answer: Option<Error> = None;
+        for _ in 0..ATTEMPT_LIMIT {
             let error = match self.put_conditional(key, expected_version, value).await {
                 Ok(version) => return Ok(version),
-                Err(Error::Conflict { current_version }) if lost.is_some() => {
-                    let stored = self.is_stored(key, value, give_up_at).await;
+                Err(Error::Conflict { current_version }) if lost_answer.is_some() => {
+                    let stored = self.stored_version(key, value, deadline).await;
                     return match stored {
                         Ok(Some(version)) => Ok(version),
                         Ok(None) => Err(Error::Conflict { current_version }),
-                        Err(_) => Err(lost.unwrap_or(Error::Conflict { current_version })),
+                        Err(_) => Err(lost_answer.unwrap_or(Error::Conflict { current_version })),
                     };
                 }
                 Err(error) => error,
             };
-            let Some(wait) = wait_before_next(&error, give_up_at) else {
-                return Err(lost.unwrap_or(error));
+            let Some(wait) = retry_delay(&error, deadline) else {
+                return Err(lost_answer.unwrap_or(error));
             };
             if error.effect() == Effect::Possible {
-                lost = Some(error);
+                lost_answer = Some(error);
             }
             tokio::time::sleep(wait).await;
         }
         let unresolved = Error::Unavailable {
             effect: Effect::None,
-            detail: format!("no answer to {SEND_LIMIT} sends"),
+            detail: format!("no response after {ATTEMPT_LIMIT} attempts"),
             retry_after: Duration::ZERO,
         };
-        Err(lost.unwrap_or(unresolved))
+        Err(lost_answer.unwrap_or(unresolved))
     }
 
-    async fn is_stored(
+    /// Returns the version of the stored object if its value is `value`.
+    async fn stored_version(
         &self,
         key: &str,
         value: &Value,
-        give_up_at: Instant,
+        deadline: Instant,
     ) -> Result<Option<Version>> {
         loop {
             let error = match self.get(key).await {
                 Ok(object) => {
-                    let own = object.filter(|object| object.value == *value);
-                    return Ok(own.map(|object| object.version));
+                    let own_object = object.filter(|object| object.value == *value);
+                    return Ok(own_object.map(|object| object.version));
                 }
                 Err(error) => error,
             };
-            let Some(wait) = wait_before_next(&error, give_up_at) else {
+            let Some(wait) = retry_delay(&error, deadline) else {
                 return Err(error);
             };
             tokio::time::sleep(wait).await;
@@ -85,8 +84,9 @@
     }
 }
 
-/// `None` where another send does not help or would come too late.
-fn wait_before_next(error: &Error, give_up_at: Instant) -> Option<Duration> {
+/// Returns the delay before the next attempt; `None` if it would not help or would exceed the
+/// deadline.
+fn retry_delay(error: &Error, deadline: Instant) -> Option<Duration> {
     let wait = error.retry_after()?;
-    (Instant::now() + wait < give_up_at).then_some(wait)
+    (Instant::now() + wait < deadline).then_some(wait)
 }
--- a/crates/hemlocktack-platform/src/values.rs
+++ b/crates/hemlocktack-platform/src/values.rs
@@ -1,21 +1,21 @@
-//! Objects as the platform gives them.
+//! Objects of the platform's store.
 
 use serde::Deserialize;
 use serde_json::Value;
 
-/// Revision of the store at an object's last write; 0: the object does not exist.
+/// Store revision of an object's last write; 0 if the object does not exist.
 pub type Version = u64;
-/// Number of the store's last write.
+/// Sequence number of a write to the store.
 pub type Revision = u64;
 
-/// One object.
+/// A stored object.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Object {
-    /// Its key.
+    /// Key of the object.
     pub key: String,
-    /// Its version, for the next conditional write.
+    /// Version to expect in the next conditional write.
     pub version: Version,
-    /// Its value.
+    /// Value of the object.
     pub value: Value,
 }
 
@@ -24,10 +24,10 @@
 pub struct Listing {
     /// Revision to watch from.
     pub revision: Revision,
-    /// In order of keys.
+    /// Objects in order of keys.
     pub objects: Vec<Object>,
-    /// Entries that are no objects: somebody else wrote them. The others are of
-    /// use all the same.
+    /// Number of entries that are not valid objects, written by something else. The others are
+    /// returned all the same.
     #[serde(default)]
     pub unreadable_count: usize,
 }
@@ -35,22 +35,22 @@
 /// An object that changed while a watch was waiting.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct WatchedObject {
-    /// Its key.
+    /// Key of the object.
     pub key: String,
     /// Version of the change.
     pub version: Version,
-    /// Its value; null where it was deleted.
+    /// New value; null if the object was deleted.
     pub value: Value,
-    /// Whether it was deleted.
+    /// Whether the object was deleted.
     #[serde(default)]
     pub deleted: bool,
 }
 
-/// Answer of a watch; empty where nothing changed in time.
+/// Response to a watch; without objects if nothing changed in time.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct WatchResponse {
     /// Revision to watch from next.
     pub revision: Revision,
-    /// In order of keys.
+    /// Changed objects in order of keys.
     pub objects: Vec<WatchedObject>,
 }
--- a/crates/hemlocktack-platform/tests/contract/client.rs
+++ b/crates/hemlocktack-platform/tests/contract/client.rs
@@ -1,4 +1,4 @@
-//! What the caller of the client sees of each fault of the platform.
+//! How the client reports each failure of the platform.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -94,11 +94,11 @@
     }
 }
 
-/// What the caller sees for every fault and call, with what is stored after it.
-/// A write whose answer is lost, late or not readable must say that it may have
-/// taken effect; one that was refused by its version must not.
+/// Tabulates the result of every call under every failure, and what is stored afterwards. The error
+/// of a write whose response is lost, late or malformed must say that the write may have taken
+/// effect; the error of a version conflict must not.
 #[tokio::test]
-async fn each_fault_is_seen_as_what_it_is() {
+async fn each_failure_is_reported_with_its_effect() {
     let mut table = String::new();
     for fault in faults() {
         writeln!(table, "platform: {}", fault.name).unwrap();
@@ -119,7 +119,7 @@
     insta::assert_snapshot!(table);
 }
 
-/// Nothing listens on the platform's address: a write certainly had no effect.
+/// Nothing listens on the platform's address, so a write certainly had no effect.
 #[tokio::test]
 async fn a_refused_connection_had_no_effect() {
     let gone = start_platform().await;
@@ -128,7 +128,7 @@
         .unwrap();
     let address = relay.address;
     drop(relay);
-    // The relay's listener closes when its task has ended.
+    // The relay's listener closes only when its task has ended.
     while tokio::net::TcpStream::connect(address).await.is_ok() {
         tokio::task::yield_now().await;
     }
@@ -139,8 +139,8 @@
     assert_eq!(kind(&error), "Unavailable, no effect");
 }
 
-/// The link breaks while a watch waits: the watcher is told at once, and a
-/// change that came meanwhile is seen by the next watch from the old revision.
+/// The connection breaks while a watch waits. The watch fails at once, and the next watch from the
+/// old revision returns a change made in between.
 #[tokio::test]
 async fn a_cut_watch_loses_no_change() {
     let platform = start_platform().await;
@@ -170,16 +170,16 @@
     assert_eq!(watched.objects[0].value, json!(1));
 }
 
-/// A store that has forgotten the revision must not leave a watcher waiting for ever.
+/// A watch from a revision that the store does not know must fail and not wait forever.
 #[tokio::test]
-async fn an_unknown_revision_is_listed_anew() {
+async fn a_watch_from_an_unknown_revision_fails() {
     let platform = start_platform().await;
     let client = client(platform.address());
     let error = client.watch("a/", 99, WAIT).await.unwrap_err();
     assert_eq!(kind(&error), "RevisionGone");
 }
 
-/// The client refuses the value itself; the platform's word for it is the same.
+/// The client rejects an oversized value itself, with the same error as the platform.
 #[tokio::test]
 async fn a_value_over_the_limit_is_refused_before_it_is_sent() {
     let platform = start_platform().await;
@@ -193,10 +193,10 @@
     assert_eq!(platform.counts().puts, 1);
 }
 
-/// Another server on the platform's address answers 404 to everything. That
-/// must not read as "there is no configuration": a node would go on without.
+/// Another server on the platform's address answers 404 to everything. That must not count as
+/// "there is no configuration", or a node would run without one.
 #[tokio::test]
-async fn a_404_from_something_else_is_no_missing_object() {
+async fn a_404_from_another_server_is_malformed() {
     let platform = start_platform().await;
     let elsewhere = ClientSettings {
         base_url: format!("http://{}/elsewhere", platform.address()),
@@ -209,10 +209,10 @@
     assert_eq!(kind(&bad.unwrap_err()), "BadAddress");
 }
 
-/// The answer of the first send is lost after it took effect. The same write
-/// is sent again, meets its own success as a conflict, and reads it back.
+/// The response to the first write is lost after it took effect. The write is sent again, conflicts
+/// with its own success, and is confirmed by reading the object back.
 #[tokio::test]
-async fn a_lost_answer_is_resolved_by_reading_back() {
+async fn a_lost_response_is_resolved_by_reading_back() {
     let platform = start_platform().await;
     let client = client(platform.address());
     platform.set(Switches {
@@ -225,10 +225,10 @@
     assert_eq!(platform.counts().conflicts, 1);
 }
 
-/// Every answer is lost for good: the caller is told that it may be stored,
-/// after a bounded number of sends.
+/// No response can be read. After a bounded number of attempts the error says that the value may be
+/// stored.
 #[tokio::test]
-async fn a_write_that_cannot_be_resolved_is_given_back_as_such() {
+async fn an_unresolved_write_reports_a_possible_effect() {
     let platform = start_platform().await;
     let client = client(platform.address());
     platform.set(Switches {
--- a/crates/hemlocktack-platform/tests/contract/configuration.rs
+++ b/crates/hemlocktack-platform/tests/contract/configuration.rs
@@ -1,4 +1,4 @@
-//! Accepted means stored: applying changes under faults of the platform.
+//! Accepted means stored: configuration changes under failures of the platform.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -49,10 +49,10 @@
     assert_eq!(store.read(9).await, Ok(None));
 }
 
-/// An edit of an older generation would take back what came after it: refused,
-/// with the newest generation, and nothing is stored.
+/// An edit based on an older generation would revert the changes made since. It is rejected with
+/// the newest generation, and nothing is stored.
 #[tokio::test]
-async fn an_edit_of_another_generation_is_refused() {
+async fn an_edit_of_another_generation_is_rejected() {
     let (_platform, _client, store) = start().await;
     store.apply(&change("one", 0)).await.unwrap();
     store.apply(&change("two", 1)).await.unwrap();
@@ -67,10 +67,10 @@
     assert_eq!(newest.configuration.change_id, "two");
 }
 
-/// The operator's script lost the answer and sends the change again, at once
-/// or after others came on top: it is one change.
+/// The operator's client lost the response and sends the change again, immediately or after other
+/// changes. It must be applied only once.
 #[tokio::test]
-async fn a_repeated_change_is_one_change() {
+async fn a_repeated_change_is_applied_once() {
     let (_platform, _client, store) = start().await;
     store.apply(&change("one", 0)).await.unwrap();
     store.apply(&change("two", 1)).await.unwrap();
@@ -83,9 +83,9 @@
     assert_eq!(newest.configuration.generation, 4);
 }
 
-/// Another document under a change id that was used must not pass for stored.
+/// A different document with a change id that was already used must not be reported as stored.
 #[tokio::test]
-async fn a_reused_change_id_is_refused() {
+async fn a_reused_change_id_is_rejected() {
     let (_platform, _client, store) = start().await;
     store.apply(&change("one", 0)).await.unwrap();
     let other = Change {
@@ -97,11 +97,10 @@
     assert_eq!(store.apply(&change("one", 1)).await, reused);
 }
 
-/// The answers of the copy to the history and of the change itself are lost
-/// after they took effect; the operator is told that it is stored, and it is
-/// stored once.
+/// The responses to the copy to the history and to the change itself are lost after they took
+/// effect. The change is reported as stored, and it is stored once.
 #[tokio::test]
-async fn a_lost_answer_does_not_lose_or_double_a_change() {
+async fn a_lost_response_neither_loses_nor_duplicates_a_change() {
     let (platform, _client, store) = start().await;
     store.apply(&change("one", 0)).await.unwrap();
     for lose_answers in 1..=4 {
@@ -117,10 +116,10 @@
     assert_eq!(newest.configuration.generation, 5);
 }
 
-/// The platform goes out during an apply. The operator is told that it may be
-/// stored only where that is so, and sends it again after the outage.
+/// The platform fails during an apply. The error says that the change may be stored only if that is
+/// possible, and the operator sends it again after the outage.
 #[tokio::test]
-async fn an_apply_during_an_outage_is_honest() {
+async fn an_apply_during_an_outage_reports_its_effect() {
     let (platform, _client, store) = start().await;
     store.apply(&change("one", 0)).await.unwrap();
     platform.set(Switches {
@@ -139,9 +138,9 @@
     assert_eq!(applied, stored(2));
 }
 
-/// A document over the platform's limit is refused; nothing is stored.
+/// A document over the platform's limit is rejected; nothing is stored.
 #[tokio::test]
-async fn a_document_over_the_limit_is_refused() {
+async fn a_document_over_the_limit_is_rejected() {
     let (_platform, _client, store) = start().await;
     let huge = Change {
         document: "x".repeat(hemlocktack_platform::VALUE_LIMIT_BYTES),
@@ -152,11 +151,11 @@
     assert_eq!(store.read_newest().await, Ok(None));
 }
 
-/// Operators of six teams race, each on the newest generation it has read,
-/// through nodes of their own, while answers get lost. Each generation is
-/// stored for exactly one of them, and no accepted change is missing.
+/// Operators of six teams apply changes concurrently, each with a client of its own and based on
+/// the newest generation it has read. Each generation is accepted from exactly one of them, and no
+/// accepted change is missing.
 #[tokio::test(flavor = "multi_thread")]
-async fn racing_operators_never_both_win() {
+async fn concurrent_operators_never_get_the_same_generation() {
     const TEAMS: u64 = 6;
     const CHANGES: u64 = 5;
     let (platform, _client, store) = start().await;
@@ -200,7 +199,7 @@
     }
 }
 
-/// Changes come for weeks: the history stays bounded, and the newest are there.
+/// After many changes the history stays bounded and contains the newest ones.
 #[tokio::test]
 async fn the_history_is_bounded() {
     let (_platform, client, store) = start().await;
@@ -217,10 +216,10 @@
     assert_eq!(store.read(1).await, Ok(None));
 }
 
-/// A node watches; it learns of a change without asking again, and a watch
-/// that ended in between misses nothing.
+/// A watching node learns of a change without polling, and a watch started after a change does not
+/// miss it.
 #[tokio::test]
-async fn a_watch_tells_of_newer_configurations_only() {
+async fn a_watch_returns_only_newer_configurations() {
     let (platform, _client, store) = start().await;
     let watching = tokio::spawn({
         let store = store.clone();
@@ -245,11 +244,11 @@
     assert_eq!(read_again.stored, Some(second));
 }
 
-/// Nodes write their records, and the store forgets older revisions. A watch
-/// from the configuration's own version is refused for good; one from the
-/// revision that the read told is not, and costs one call.
+/// Nodes write their records, and the store compacts older revisions. A watch from the
+/// configuration's own version then always fails; one from the revision that the read returned
+/// works and costs one call.
 #[tokio::test]
-async fn a_watch_goes_on_from_the_revision_that_was_told() {
+async fn a_watch_resumes_from_the_revision_of_the_read() {
     let (platform, client, store) = start().await;
     store.apply(&change("one", 0)).await.unwrap();
     let written = client.put_conditional("nodes/a", 0, &1.into()).await;
--- a/crates/hemlocktack-platform/tests/contract/limits.rs
+++ b/crates/hemlocktack-platform/tests/contract/limits.rs
@@ -1,4 +1,4 @@
-//! How much a node asks of the platform, in virtual time and against the stand-in.
+//! Load of a node on the platform, in virtual time and against the fake platform.
 
 use std::time::{Duration, Instant};
 
@@ -10,11 +10,11 @@
 use serde_json::json;
 
 const NODES: f64 = 560.0;
-/// What the platform takes a second.
+/// Calls per second that the platform accepts.
 const PLATFORM_READS: f64 = 2_000.0;
 const PLATFORM_WRITES: f64 = 300.0;
 
-/// A node in a loop asks for ever; a day later it has had its rate and its burst.
+/// A node calls in an endless loop; after a day it has used its rate and its burst, no more.
 #[test]
 fn a_node_in_a_loop_stays_within_its_rate() {
     let start = Instant::now();
@@ -35,10 +35,10 @@
     assert_eq!(taken, 40 + 2 * 86_399);
 }
 
-/// A rate that a settings file has wrong: the node waits, and does not end on a wait
-/// without an end.
+/// Guards against a panic on an unrepresentable wait, which a wrong rate in a settings file would
+/// give: the wait is bounded.
 #[test]
-fn a_rate_that_earns_nothing_is_a_long_wait() {
+fn an_invalid_rate_gives_a_bounded_wait() {
     const A_DAY: Duration = Duration::from_secs(24 * 60 * 60);
     let start = Instant::now();
     for calls_per_second in [0.0, -1.0, f64::NAN, f64::INFINITY, f64::MIN_POSITIVE] {
@@ -54,15 +54,16 @@
 }
 
 #[test]
-fn the_fleet_of_the_aim_fits_the_platform() {
+fn the_intended_fleet_fits_the_platforms_rates() {
     let settings = BudgetSettings::default();
     assert!(settings.reads.calls_per_second * NODES < PLATFORM_READS);
     assert!(settings.writes.calls_per_second * NODES < PLATFORM_WRITES);
 }
 
-/// An hour of outage: a node asks at the longest wait, not at its budget.
+/// During an hour's outage a node calls once per maximum wait and not at the rate of its budget,
+/// and no wait delays the discovery of the end beyond the maximum.
 #[test]
-fn an_outage_is_asked_seldom_and_its_end_is_found_soon() {
+fn backoff_bounds_the_calls_and_waits_of_an_outage() {
     let settings = BackoffSettings::default();
     for random in [0.0, 0.5, 0.999] {
         let mut backoff = Backoff::new(settings);
@@ -82,9 +83,9 @@
     }
 }
 
-/// Ten calls under way fail together: that is one fault, not ten doublings.
+/// Ten concurrent calls that fail together double the wait once, not ten times.
 #[test]
-fn failures_at_once_count_as_one() {
+fn concurrent_failures_count_once() {
     let mut backoff = Backoff::new(BackoffSettings::default());
     let now = Instant::now();
     for _ in 0..10 {
@@ -95,10 +96,10 @@
     assert_eq!(backoff.wait(now), None);
 }
 
-/// The node has used up its share: the platform is not asked, and the caller
-/// learns when it may come back. Reads and writes have shares of their own.
+/// With the budget used up, no request is sent, and the error says when to try again. Reads and
+/// writes have separate budgets.
 #[tokio::test]
-async fn a_spent_budget_is_not_asked_of_the_platform() {
+async fn a_spent_budget_sends_no_request() {
     let platform = start_platform().await;
     let two_a_day = Rate {
         calls_per_second: 2.0 / 86_400.0,
@@ -122,10 +123,10 @@
     assert_eq!(platform.counts().puts, 1);
 }
 
-/// The platform is down and everything in the node asks for it: it sees one
-/// call until the wait is over.
+/// The platform is down and the whole node keeps calling it: only one request is sent until the
+/// backoff ends.
 #[tokio::test]
-async fn a_failing_platform_is_left_alone() {
+async fn a_failing_platform_gets_one_request_per_wait() {
     let platform = start_platform().await;
     platform.set(Switches {
         down: true,
--- a/crates/hemlocktack-platform/tests/contract/main.rs
+++ b/crates/hemlocktack-platform/tests/contract/main.rs
@@ -1,4 +1,4 @@
-//! Contract of the object API, as its client and the system's objects use it.
+//! Contract tests of the object API, as the client and the stored objects use it.
 #![allow(clippy::unwrap_used)]
 
 mod client;
--- a/crates/hemlocktack-platform/tests/contract/nodes.rs
+++ b/crates/hemlocktack-platform/tests/contract/nodes.rs
@@ -1,4 +1,4 @@
-//! Node records under restarts, pauses and lost answers.
+//! Node records under restarts, pauses and lost responses.
 
 use crate::support::{client, start_platform};
 use hemlocktack_platform::{NodeRecords, Publication};
@@ -15,7 +15,7 @@
     }
 }
 
-/// A node publishes, refreshes, loses an answer and leaves.
+/// A node publishes its record, refreshes it, loses a response and leaves.
 #[tokio::test]
 async fn a_record_follows_its_node() {
     let platform = start_platform().await;
@@ -34,11 +34,11 @@
     assert!(records.list().await.unwrap().nodes.is_empty());
 }
 
-/// The node is replaced while its old process is paused. The new start takes
-/// the record over; the old one wakes, still believing that it is its own, and
-/// must leave it: its addresses are dead, and others would call them.
+/// A node is replaced while its old process is paused, and the new one has overwritten the record.
+/// When the old process resumes, it must not restore its record: other nodes would call its dead
+/// addresses.
 #[tokio::test]
-async fn a_woken_process_leaves_its_successors_record() {
+async fn a_resumed_process_keeps_its_successors_record() {
     let platform = start_platform().await;
     let paused = NodeRecords::new(client(platform.address()));
     let successor = NodeRecords::new(client(platform.address()));
@@ -53,7 +53,7 @@
     assert_eq!(listed.nodes[0].member, member(2, 1));
 }
 
-/// Someone deleted the record of a node that was believed dead: it comes back.
+/// A record that was deleted because its node was presumed dead is published again.
 #[tokio::test]
 async fn a_deleted_record_is_published_again() {
     let platform = start_platform().await;
@@ -65,9 +65,9 @@
     assert_eq!(published, Ok(Publication::Published));
 }
 
-/// One record that nobody can read does not hide the others.
+/// One malformed record does not hide the others.
 #[tokio::test]
-async fn a_malformed_record_is_named_and_passed_over() {
+async fn a_malformed_record_is_reported_and_skipped() {
     let platform = start_platform().await;
     let client = client(platform.address());
     let records = NodeRecords::new(client.clone());
--- a/crates/hemlocktack-platform/tests/contract/support.rs
+++ b/crates/hemlocktack-platform/tests/contract/support.rs
@@ -1,4 +1,4 @@
-//! A stand-in platform and clients with short waits.
+//! A fake platform and clients with short waits.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,9 +9,10 @@
 };
 use hemlocktack_testkit::platform::{self, Platform};
 
-/// Far below the stand-in's `slow` of a minute: a slow platform always times out.
+/// Far below the fake platform's `slow` delay of a minute, so that a slow platform always times
+/// out.
 const CALL_TIMEOUT: Duration = Duration::from_millis(400);
-const AMPLE: Rate = Rate {
+const UNLIMITED: Rate = Rate {
     calls_per_second: 10_000.0,
     burst: 10_000.0,
 };
@@ -25,8 +26,8 @@
 pub(crate) fn settings(address: SocketAddr) -> ClientSettings {
     ClientSettings {
         budget: BudgetSettings {
-            reads: AMPLE,
-            writes: AMPLE,
+            reads: UNLIMITED,
+            writes: UNLIMITED,
         },
         backoff: BackoffSettings {
             first: Duration::from_millis(1),
@@ -41,12 +42,12 @@
     Arc::new(Client::new(settings(address)).unwrap())
 }
 
-/// The error without its wording and waits, which differ from run to run.
+/// Describes an error without its text and waits, which differ from run to run.
 pub(crate) fn kind(error: &Error) -> String {
     match error {
         Error::Conflict { current_version } => format!("Conflict with version {current_version}"),
-        Error::Unavailable { effect, .. } => format!("Unavailable, {}", said(*effect)),
-        Error::Malformed { effect, .. } => format!("Malformed, {}", said(*effect)),
+        Error::Unavailable { effect, .. } => format!("Unavailable, {}", effect_name(*effect)),
+        Error::Malformed { effect, .. } => format!("Malformed, {}", effect_name(*effect)),
         Error::TooLarge { limit_bytes } => format!("TooLarge over {limit_bytes} bytes"),
         Error::RevisionGone => "RevisionGone".to_owned(),
         Error::BadAddress { .. } => "BadAddress".to_owned(),
@@ -54,7 +55,7 @@
     }
 }
 
-fn said(effect: Effect) -> &'static str {
+fn effect_name(effect: Effect) -> &'static str {
     match effect {
         Effect::None => "no effect",
         Effect::Possible => "effect possible",
--- a/crates/hemlocktack-platform/tests/nearly_right.rs
+++ b/crates/hemlocktack-platform/tests/nearly_right.rs
@@ -1,7 +1,6 @@
-//! Answers of the store that are nearly right: each reader takes them or says what is
-//! wrong.
+//! Nearly valid responses of the store: each decoder accepts them or reports an error.
 //!
-//! `PROPTEST_CASES=1000000` runs as many cases.
+//! `PROPTEST_CASES=1000000` runs that many cases.
 
 #![allow(clippy::unwrap_used)]
 
@@ -63,10 +62,10 @@
     serde_json::from_value(object.value).ok()
 }
 
-/// What is changed into nearly right messages has to be right itself, or readers
-/// stop at the same first fault in all of them.
+/// The messages that the mutations start from must be valid: otherwise decoders would always stop
+/// at the same first error.
 #[test]
-fn messages_that_nothing_was_changed_in_are_read_whole() {
+fn unmodified_messages_are_decoded_completely() {
     let stored = (NATIVE_CODEC.read_object)("", &bytes(configuration())).unwrap();
     let stored = (NATIVE_CODEC.read_configuration)(&stored).unwrap();
     assert_eq!((stored.generation, stored.author.as_str()), (7, "asha"));
@@ -77,17 +76,17 @@
     let watched = (NATIVE_CODEC.read_watched)("", &bytes(watched())).unwrap();
     assert_eq!(watched.objects.len(), 1);
     assert_eq!((NATIVE_CODEC.read_written)(&bytes(written())), Ok(43));
-    let refused = (NATIVE_CODEC.read_refusal)(StatusCode::CONFLICT, &bytes(refusal()));
+    let refused = (NATIVE_CODEC.read_error)(StatusCode::CONFLICT, &bytes(refusal()));
     assert_eq!(refused, StoreError::Conflict(44));
 }
 
 proptest! {
     #![proptest_config(cases(27))]
 
-    /// A store that was written by hand, or another version of it, answers what no
-    /// table of cases thinks of. A node that ends on it takes its upstream along.
+    /// Guards against a decoder that panics on unforeseen contents, such as objects written by hand
+    /// or by another version of the store: a node that crashes takes its upstream out of service.
     #[test]
-    fn objects_of_the_store_are_taken_or_refused(
+    fn objects_of_the_store_are_decoded_or_rejected(
         one in nearly(configuration), record in nearly(node_record),
         page in nearly(listing), events in nearly(watched),
         short in nearly(written), refused in nearly(refusal), status in 100_u16..1000,
@@ -106,6 +105,6 @@
         let _ = (NATIVE_CODEC.read_written)(&short);
         let _ = (NATIVE_CODEC.read_deleted)(&short);
         let status = StatusCode::from_u16(status).unwrap();
-        let _ = (NATIVE_CODEC.read_refusal)(status, &refused);
+        let _ = (NATIVE_CODEC.read_error)(status, &refused);
     }
 }
