--- a/crates/hemlocktack-node/src/calls/admission_queue.rs
+++ b/crates/hemlocktack-node/src/calls/admission_queue.rs
@@ -1,7 +1,7 @@
-//! The queue in front of the upstream: waits for what the admission decides.
+//! Admission queue in front of the upstream.
 //!
-//! All rules are in `hemlocktack_decide::Admission`; here are only the lock,
-//! the waiting and the waking.
+//! All rules are in `hemlocktack_decide::Admission`. This module adds the lock, the waiting
+//! tasks and the timer.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -15,10 +15,10 @@
 use hemlocktack_protocol::{CallId, Fingerprint, LoadHint, Reason, Refusal};
 use tokio::sync::{Notify, oneshot};
 
-/// Longest sleep of the waker while nothing waits.
-const IDLE_WAKE: Duration = Duration::from_millis(500);
+/// Longest sleep of the timer while no call is queued.
+const IDLE_WAKEUP: Duration = Duration::from_millis(500);
 
-/// Admission with its waiting calls.
+/// Admission control and the calls that wait for its decision.
 pub(crate) struct AdmissionQueue {
     state: Mutex<QueueState>,
     next_call_id: AtomicU64,
@@ -31,9 +31,9 @@
     decisions: Vec<QueueDecision>,
 }
 
-/// A slot of the upstream. Leaving it without [`Admitted::finish`] gives the
-/// slot back as that of a cancelled call.
-pub(crate) struct Admitted<'a> {
+/// A slot of the upstream. Dropping it without [`AdmissionPermit::finish`] releases the slot
+/// and counts the call as cancelled.
+pub(crate) struct AdmissionPermit<'a> {
     admission_queue: &'a AdmissionQueue,
     call_id: CallId,
     finished: bool,
@@ -54,13 +54,13 @@
         }
     }
 
-    /// A slot for the call, at once or after waiting, or the refusal.
+    /// Returns a slot for the call, immediately or after queueing, or the refusal.
     ///
-    /// `offer` gets the number under which this queue knows the call.
+    /// `offer` receives the id that this queue assigned to the call.
     pub(crate) async fn admit(
         &self,
         offer: impl FnOnce(CallId) -> OfferedCall,
-    ) -> Result<Admitted<'_>, Refusal> {
+    ) -> Result<AdmissionPermit<'_>, Refusal> {
         let call_id = self.next_call_id.fetch_add(1, Ordering::Relaxed);
         let verdict = {
             let mut state = self.lock();
@@ -74,7 +74,7 @@
                 }
             }
         };
-        let mut admitted = Admitted {
+        let mut admitted = AdmissionPermit {
             admission_queue: self,
             call_id,
             finished: false,
@@ -96,15 +96,15 @@
         }
     }
 
-    /// Reads or changes the admission and carries out what it then decides.
+    /// Reads or changes the admission state and applies the resulting queue decisions.
     pub(crate) fn with_admission<T>(&self, use_admission: impl FnOnce(&mut Admission) -> T) -> T {
         let mut state = self.lock();
         let result = use_admission(&mut state.admission);
-        state.carry_out(Instant::now());
+        state.apply_decisions(Instant::now());
         result
     }
 
-    /// How a request stands in the crash quarantine, as far as this node heard.
+    /// Returns the crash quarantine status of a request, as far as this node knows.
     pub(crate) fn quarantine_status(&self, fingerprint: Fingerprint) -> QuarantineStatus {
         let mut state = self.lock();
         state
@@ -117,16 +117,16 @@
         self.lock().admission.hint(chain_level)
     }
 
-    /// Wakes the queue when the admission asks for it.
+    /// Applies queue decisions whenever the admission's next deadline is reached.
     pub(crate) async fn run_timer(self: Arc<Self>) {
         loop {
             let wake = self.lock().admission.next_wake();
-            let wake = wake.unwrap_or_else(|| Instant::now() + IDLE_WAKE);
+            let wake = wake.unwrap_or_else(|| Instant::now() + IDLE_WAKEUP);
             tokio::select! {
                 () = tokio::time::sleep_until(wake.into()) => {}
                 () = self.queue_changed.notified() => continue,
             }
-            self.lock().carry_out(Instant::now());
+            self.lock().apply_decisions(Instant::now());
         }
     }
 
@@ -136,7 +136,7 @@
 }
 
 impl QueueState {
-    fn carry_out(&mut self, now: Instant) {
+    fn apply_decisions(&mut self, now: Instant) {
         let mut decisions = std::mem::take(&mut self.decisions);
         self.admission.take_decisions(now, &mut decisions);
         for decision in decisions.drain(..) {
@@ -148,7 +148,7 @@
         self.decisions = decisions;
     }
 
-    /// A call whose waiter has gone meanwhile gives its slot back.
+    /// Starts a queued call, or releases its slot if its task was dropped in the meantime.
     fn run(&mut self, call_id: CallId, now: Instant) {
         let waiter = self.waiting.remove(&call_id);
         let taken = waiter.is_some_and(|waiter| waiter.send(Ok(())).is_ok());
@@ -165,29 +165,29 @@
     }
 }
 
-impl Admitted<'_> {
-    /// Gives the slot back; `time_below` is the time spent on deeper calls.
-    pub(crate) fn finish(mut self, ended: RunResult, time_below: Duration) {
+impl AdmissionPermit<'_> {
+    /// Releases the slot; `child_wait` is the time that the call waited for its child calls.
+    pub(crate) fn finish(mut self, ended: RunResult, child_wait: Duration) {
         self.finished = true;
-        self.give_back(ended, time_below);
+        self.release(ended, child_wait);
     }
 
-    fn give_back(&self, ended: RunResult, time_below: Duration) {
+    fn release(&self, ended: RunResult, child_wait: Duration) {
         let now = Instant::now();
         let mut state = self.admission_queue.lock();
         state.waiting.remove(&self.call_id);
         match state.admission.cancel(self.call_id) {
-            CancelResult::Running => state.admission.finish(self.call_id, ended, time_below, now),
+            CancelResult::Running => state.admission.finish(self.call_id, ended, child_wait, now),
             CancelResult::Dequeued | CancelResult::UnknownCall => {}
         }
-        state.carry_out(now);
+        state.apply_decisions(now);
     }
 }
 
-impl Drop for Admitted<'_> {
+impl Drop for AdmissionPermit<'_> {
     fn drop(&mut self) {
         if !self.finished {
-            self.give_back(RunResult::Cancelled, Duration::ZERO);
+            self.release(RunResult::Cancelled, Duration::ZERO);
         }
     }
 }
--- /dev/null
+++ b/crates/hemlocktack-node/src/calls/attempts.rs
@@ -0,0 +1,61 @@
+//! Attempts to run one call, and the answer that its caller finally gets.
+
+use hemlocktack_decide::{CallSends, combined_outcome};
+use hemlocktack_protocol::{Answer, CallFailure, Reason};
+
+use super::ClassifiedCall;
+use super::outcomes::{NO_CLASSES_SHED, not_run_answer, retry_delay};
+use super::place::choose_peer_among;
+use super::service_directory::ServiceView;
+
+/// The attempts of one call so far.
+pub(super) struct CallAttempts {
+    pub(super) sends: CallSends,
+    /// Failure that the caller gets if no later send is answered.
+    reported: Option<ReportedFailure>,
+}
+
+struct ReportedFailure {
+    failure: CallFailure,
+    answer: Answer,
+}
+
+impl CallAttempts {
+    pub(super) fn new(classified: &ClassifiedCall) -> Self {
+        CallAttempts {
+            sends: CallSends::new(classified.max_upstreams.unwrap_or(usize::MAX)),
+            reported: None,
+        }
+    }
+
+    /// Returns the node to send the call to next: preferably another node than the last one, which
+    /// gets it again if no other may and it has turned the call away.
+    pub(super) fn next_peer(
+        &self,
+        view: &ServiceView,
+        classified: &ClassifiedCall,
+    ) -> Option<usize> {
+        let may_send_to = |node| self.sends.may_send_to(node);
+        let chosen = choose_peer_among(view, may_send_to, classified.objective);
+        chosen.or_else(|| self.sends.resend_target())
+    }
+
+    /// Records a failed send to this node.
+    pub(super) fn record_failure(&mut self, node: usize, failure: CallFailure, answer: Answer) {
+        self.sends.send_ended(node, &failure);
+        let earlier = self.reported.as_ref().map(|reported| reported.failure);
+        if earlier.is_none_or(|earlier| combined_outcome(Some(earlier), failure) != earlier) {
+            self.reported = Some(ReportedFailure { failure, answer });
+        }
+    }
+
+    /// Returns the answer to a call that no further node is tried for. It gives the reason of
+    /// the failed sends: `no-upstream` would make callers and operators look for an upstream
+    /// that exists and is only full.
+    pub(super) fn into_answer(self) -> Answer {
+        let retry_after = Some(retry_delay(NO_CLASSES_SHED));
+        let nowhere = || not_run_answer(Reason::NoUpstream, retry_after);
+        self.reported
+            .map_or_else(nowhere, |reported| reported.answer)
+    }
+}
--- a/crates/hemlocktack-node/src/calls/classify.rs
+++ b/crates/hemlocktack-node/src/calls/classify.rs
@@ -1,4 +1,4 @@
-//! What the operators' configuration and the chain above say of a call.
+//! Classification of a caller's request by the configuration and by its parent call.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -11,34 +11,34 @@
 use crate::callers::CallerRequest;
 use crate::node::Node;
 
-/// Calls above one another in one chain. Ten is the deepest graph we know of;
-/// a loop in a graph ends here instead of at the deadline.
-const DEPTH_LIMIT: u32 = 16;
+/// Longest allowed chain of nested calls. The deepest known call graph has ten levels; the limit
+/// ends a loop in a call graph before its deadline does.
+const MAX_CALL_DEPTH: u32 = 16;
 
-/// A call with all that decides about it.
+/// A call with everything that decides how it is handled.
 pub(crate) struct ClassifiedCall {
     pub(crate) call: Call,
     pub(crate) idempotent: bool,
     pub(crate) class_rank: ClassRank,
     pub(crate) kind: WorkKind,
     pub(crate) deadline: Instant,
-    /// Until when an answer to the root request is worth most to its caller.
+    /// Target time for the answer to the root request (its latency objective).
     pub(crate) objective: Option<Instant>,
-    /// Retries of this request; shared with the calls beside it in a chain.
+    /// Retries of this request, shared with the other child calls of its parent.
     pub(crate) allowance: Arc<RetryAllowance>,
-    /// Upstreams that the call may be handed to, where its route says so; those
-    /// whose nodes refuse it before do not count. Else the allowance alone bounds
-    /// them.
+    /// Upstreams that the call may be forwarded to, if its route sets a limit. Upstreams whose
+    /// nodes refuse the call before that do not count. Without a limit, only the retry
+    /// allowance bounds them.
     pub(crate) max_upstreams: Option<usize>,
-    /// Of the configuration that all this was read from.
+    /// Generation of the configuration that was used.
     pub(crate) generation: Generation,
     pub(crate) parent: Option<Arc<RunningCall>>,
-    /// As the caller sent it; see `Idempotency-Key`.
+    /// Value of the caller's `Idempotency-Key` header.
     pub(crate) idempotency_key: Option<String>,
     pub(crate) sends: SendRecord,
 }
 
-/// Looks a request up in the configuration and, for a deeper call, its parent.
+/// Classifies a request by its rule in the configuration and, for a child call, by its parent.
 pub(crate) fn classify(
     node: &Node,
     request: CallerRequest,
@@ -57,11 +57,11 @@
         .transpose()?;
     let rule = service.rule(request.method, &request.path);
     let class_rank = class_rank(&in_force.document, rule, parent.as_deref());
-    // What no rule declares idempotent is not repeated.
+    // A request that no rule declares idempotent is never repeated.
     let idempotent = rule.is_some_and(|rule| rule.idempotent);
     let kind = work_kind(service, rule);
     node.services.register_work_kind(kind, &service.name);
-    let patience = patience(&in_force.document, &request, parent.as_deref(), now)?;
+    let call_timeout = call_timeout(&in_force.document, &request, parent.as_deref(), now)?;
     let allowance = match &parent {
         Some(parent) => parent.allowance.clone(),
         None => Arc::new(RetryAllowance::new(root_allowance(
@@ -93,10 +93,10 @@
         traceparent: request.traceparent.unwrap_or_default(),
         ..Call::default()
     };
-    if call.depth > DEPTH_LIMIT {
+    if call.depth > MAX_CALL_DEPTH {
         return Err(Reason::MalformedContext);
     }
-    let deadline = now + patience;
+    let deadline = now + call_timeout;
     let idempotency_key = request.idempotency_key;
     Ok(ClassifiedCall {
         call,
@@ -114,8 +114,8 @@
     })
 }
 
-/// A deeper call keeps the class of its root: what matters is the caller's
-/// request, not which hop of it is being worked on.
+/// Returns the priority class of a call. A child call keeps the class of its root request,
+/// since the caller's request counts and not the hop that is running.
 fn class_rank(
     document: &Document,
     rule: Option<&RequestRule>,
@@ -131,7 +131,7 @@
     ClassRank::try_from(rank).unwrap_or(ClassRank::MAX)
 }
 
-fn patience(
+fn call_timeout(
     document: &Document,
     request: &CallerRequest,
     parent: Option<&RunningCall>,
@@ -155,7 +155,7 @@
         .map_or(0, |kind| kind.retry_allowance)
 }
 
-/// Kind of work of a call that reached the upstream side.
+/// Returns the kind of work of a call that reached the upstream side.
 pub(crate) fn work_kind_of(node: &Node, call: &Call) -> WorkKind {
     if call.work_kind != 0 {
         return call.work_kind;
@@ -169,8 +169,8 @@
     })
 }
 
-/// Calls that match the same rule are taken to be about equal work. Every node
-/// must come to the same number.
+/// Returns the kind of work of a rule: calls that match the same rule are assumed to cost about
+/// the same. Every node must compute the same number.
 fn work_kind(service: &Service, rule: Option<&RequestRule>) -> WorkKind {
     let (method, path_prefix) = rule.map_or(("", ""), |rule| {
         (rule.method.as_str(), rule.path_prefix.as_str())
@@ -182,7 +182,7 @@
     ])
 }
 
-/// Equal requests have equal fingerprints on every node.
+/// Returns the fingerprint of a request, which is the same on every node.
 pub(crate) fn fingerprint(service: &str, method: &str, path: &str, body: &[u8]) -> Fingerprint {
     stable_hash(&[service.as_bytes(), method.as_bytes(), path.as_bytes(), body])
 }
--- a/crates/hemlocktack-node/src/calls/context.rs
+++ b/crates/hemlocktack-node/src/calls/context.rs
@@ -1,4 +1,4 @@
-//! Calls that the upstream beside this node is running, for its deeper calls.
+//! Table of the calls that the upstream is running, used to find the parent of a child call.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -10,47 +10,46 @@
 use hemlocktack_protocol::{Answer, Call, ClassRank, Reason, RootRequestId};
 use hemlocktack_telemetry::TraceContext;
 
-use super::ends::lacked_room;
+use super::outcomes::lacked_capacity;
 
 /// Length of the opaque header: one 64-bit number in hexadecimal digits.
 const CONTEXT_DIGITS: usize = 16;
-/// Tables side by side, so that calls seldom wait for each other's lock.
+/// Number of separately locked tables, which keeps lock contention between calls low.
 const SHARDS: usize = 16;
 
-/// What deeper calls of a running call inherit.
+/// A call that the upstream is running, with what its child calls inherit.
 pub(crate) struct RunningCall {
     pub(crate) root_request_id: RootRequestId,
     pub(crate) class_rank: ClassRank,
     pub(crate) deadline: Instant,
-    /// Until when an answer to the root request is worth most to its caller.
+    /// Target time for the answer to the root request (its latency objective).
     pub(crate) objective: Option<Instant>,
     pub(crate) depth: u32,
-    /// It may have run before, and so may its deeper calls.
+    /// The call may have run before, and so may its child calls.
     pub(crate) is_repeat: bool,
-    /// Retries that came with the call; its deeper calls draw on them.
+    /// Retries that were granted with the call; its child calls use them.
     pub(crate) allowance: Arc<RetryAllowance>,
-    /// Tickets of its deeper calls.
+    /// Tickets of the child calls.
     pub(crate) children: Mutex<ChildCalls>,
-    /// Where the upstream's work stands in its trace, for deeper calls that
-    /// come without a `traceparent`.
+    /// Trace context of the upstream's work, for child calls without a `traceparent`.
     pub(crate) trace: Option<TraceContext>,
     started: Instant,
-    /// Work that the chain above had spent when the call started.
+    /// Work that the parent calls had spent when this call started.
     work_spent_before: Duration,
-    deeper: Mutex<DeeperCalls>,
-    went_deeper: AtomicBool,
-    /// A deeper call of it found no room.
-    lacked_room: AtomicBool,
+    child_calls: Mutex<ChildCallStats>,
+    made_child_call: AtomicBool,
+    /// A child call failed because a service lacked capacity.
+    child_lacked_capacity: AtomicBool,
 }
 
 #[derive(Default)]
-struct DeeperCalls {
+struct ChildCallStats {
     total: Duration,
     kinds: Vec<WorkKind>,
 }
 
 impl RunningCall {
-    /// `nonce` is that of the call's ticket, if it has one.
+    /// Creates the entry of a call; `nonce` is that of its ticket, if it has one.
     pub(crate) fn new(
         call: &Call,
         class_rank: ClassRank,
@@ -72,9 +71,9 @@
             trace: TraceContext::parse(&call.traceparent),
             started: Instant::now(),
             work_spent_before: Duration::from_micros(call.work_spent_us),
-            deeper: Mutex::default(),
-            went_deeper: AtomicBool::new(false),
-            lacked_room: AtomicBool::new(false),
+            child_calls: Mutex::default(),
+            made_child_call: AtomicBool::new(false),
+            child_lacked_capacity: AtomicBool::new(false),
         }
     }
 
@@ -83,43 +82,46 @@
         u64::try_from(spent.as_micros()).unwrap_or(u64::MAX)
     }
 
-    /// Notes that a deeper call begins, whatever becomes of it.
+    /// Records that a child call begins, whatever its outcome.
     pub(crate) fn child_call_began(&self) {
-        self.went_deeper.store(true, Ordering::Release);
+        self.made_child_call.store(true, Ordering::Release);
     }
 
-    /// Whether its upstream began work on it for certain.
-    pub(crate) fn went_deeper(&self) -> bool {
-        self.went_deeper.load(Ordering::Acquire)
+    /// Whether the call has made a child call, which proves that its upstream started work on it.
+    pub(crate) fn has_child_calls(&self) -> bool {
+        self.made_child_call.load(Ordering::Acquire)
     }
 
-    /// Counts one deeper call that has ended.
+    /// Records a child call that has ended.
     pub(crate) fn child_call_ended(&self, kind: WorkKind, duration: Duration, answer: &Answer) {
-        if lacked_room(answer) {
-            self.lacked_room.store(true, Ordering::Release);
+        if lacked_capacity(answer) {
+            self.child_lacked_capacity.store(true, Ordering::Release);
         }
-        let mut deeper = self.deeper.lock().unwrap_or_else(PoisonError::into_inner);
-        deeper.total += duration;
-        if !deeper.kinds.contains(&kind) {
-            deeper.kinds.push(kind);
+        let mut child_calls = self
+            .child_calls
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        child_calls.total += duration;
+        if !child_calls.kinds.contains(&kind) {
+            child_calls.kinds.push(kind);
         }
     }
 
-    pub(crate) fn lacked_room(&self) -> bool {
-        self.lacked_room.load(Ordering::Acquire)
+    pub(crate) fn child_lacked_capacity(&self) -> bool {
+        self.child_lacked_capacity.load(Ordering::Acquire)
     }
 
-    /// Time spent on deeper calls, as if made one after the other.
-    pub(crate) fn time_below(&self) -> Duration {
-        self.deeper
+    /// Returns the time spent waiting for child calls, as if they were made one after the other.
+    pub(crate) fn child_wait(&self) -> Duration {
+        self.child_calls
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .total
             .min(self.started.elapsed())
     }
 
-    pub(crate) fn deeper_kinds(&self) -> Vec<WorkKind> {
-        self.deeper
+    pub(crate) fn child_kinds(&self) -> Vec<WorkKind> {
+        self.child_calls
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .kinds
@@ -127,22 +129,21 @@
     }
 }
 
-/// Until when an answer to the root request of a call is worth most.
+/// Returns the target time for the answer to a call's root request, if it has one.
 pub(crate) fn objective_of(call: &Call) -> Option<Instant> {
     let left = Duration::from_micros(call.objective_left_us);
     (!left.is_zero()).then(|| Instant::now() + left)
 }
 
-/// All calls that the upstream is running, by the opaque header and by the
-/// caller's own name of the request.
+/// All calls that the upstream is running, by the opaque context header and by request id.
 #[derive(Default)]
 pub(crate) struct ContextTable {
     shards: [Mutex<HashMap<u64, Arc<RunningCall>>>; SHARDS],
-    /// A request may be sent here again while its first send still runs.
+    /// Runs by request id. A request may be sent here again while its first send still runs.
     by_request: Mutex<HashMap<String, Vec<Arc<RunningCall>>>>,
 }
 
-/// Keeps a running call findable until it ends.
+/// Entry of a running call in the [`ContextTable`]; dropping it removes the entry.
 pub(crate) struct OpenContext<'a> {
     table: &'a ContextTable,
     handle: u64,
@@ -151,11 +152,11 @@
 }
 
 impl ContextTable {
-    /// Enters a call that is about to run.
+    /// Adds a call that is about to run.
     ///
-    /// The handle is random: an upstream cannot name another call's by counting.
+    /// The handle is random, so that an upstream cannot guess the handle of another call.
     ///
-    /// `request_id` is empty where callers give their requests no names.
+    /// `request_id` is empty if callers do not identify their requests.
     pub(crate) fn open(&self, running: RunningCall, request_id: &str) -> OpenContext<'_> {
         let handle = rand::random();
         let running = Arc::new(running);
@@ -176,7 +177,7 @@
         }
     }
 
-    /// The running call of a request that a deeper call is made for: its latest.
+    /// Returns the parent of a child call by its request id: the run that began last.
     pub(crate) fn find_by_request(&self, request_id: &str) -> Option<Arc<RunningCall>> {
         self.named().get(request_id)?.last().cloned()
     }
@@ -187,7 +188,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The running call that a deeper call names.
+    /// Returns the parent of a child call by its context header.
     pub(crate) fn find(&self, header: &str) -> Result<Arc<RunningCall>, Reason> {
         let has_form =
             header.len() == CONTEXT_DIGITS && header.bytes().all(|byte| byte.is_ascii_hexdigit());
@@ -210,7 +211,7 @@
 }
 
 impl OpenContext<'_> {
-    /// Text of the opaque header.
+    /// Returns the value of the opaque context header.
     pub(crate) fn header(&self) -> String {
         format!("{:0width$x}", self.handle, width = CONTEXT_DIGITS)
     }
--- a/crates/hemlocktack-node/src/calls/deliver.rs
+++ b/crates/hemlocktack-node/src/calls/deliver.rs
@@ -1,4 +1,4 @@
-//! One send of a call to the node of a peer, with its share of the retries.
+//! A single send of a call to a node, with a share of the retry allowance.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -8,52 +8,52 @@
 use hemlocktack_telemetry::SpanName;
 use tokio_util::sync::CancellationToken;
 
-use super::ends::{not_run_answer, unknown_answer};
+use super::outcomes::{not_run_answer, unknown_answer};
 use super::receive;
 use super::service_directory::PeerEntry;
 use crate::links::{Peer, SendOutcome};
 use crate::node::{Node, NodeLocation};
 use crate::telemetry::CallSpan;
 
-/// Kept back from the time left that goes along with a call, so that the
-/// receiver's verdict at the deadline reaches the caller before the entry has
-/// to answer with less knowledge.
-const TIME_FOR_THE_WAY_BACK: Duration = Duration::from_millis(5);
+/// Subtracted from the time left that is sent with a call. It lets the receiver's outcome at the
+/// deadline reach the entry node before that has to answer without it.
+const ANSWER_RETURN_MARGIN: Duration = Duration::from_millis(5);
 
-/// What one send came to.
-pub(crate) struct Delivery {
+/// Result of one send.
+pub(crate) struct SendResult {
     pub(crate) answer: Answer,
-    /// The answer is the receiver's own word, not this node's conclusion.
-    pub(crate) is_receivers_word: bool,
+    /// The answer came from the receiver; otherwise this node derived it.
+    pub(crate) is_from_receiver: bool,
 }
 
-/// Gives retries away with the call and takes the unspent rest back. A call
-/// that came to no answer gives nothing back: it may have spent all.
+/// Sends a call with a share of the retry allowance and takes unspent retries back. A call
+/// without an answer returns none, since it may have spent them all.
 pub(crate) async fn send_with_allowance(
     node: &Arc<Node>,
     peer: &PeerEntry,
     mut call: Call,
     deadline: Instant,
     allowance: &RetryAllowance,
-) -> Delivery {
+) -> SendResult {
     let given = allowance.grant_to_child();
     call.retries_given = given;
     call.time_left_us = time_left_us(deadline);
-    let delivery = match node.locate(&peer.member) {
-        Some(NodeLocation::Local) => Delivery {
-            answer: receive_here(node, call).await,
-            is_receivers_word: true,
+    let result = match node.locate(&peer.member) {
+        Some(NodeLocation::Local) => SendResult {
+            answer: receive_locally(node, call).await,
+            is_from_receiver: true,
         },
         Some(NodeLocation::Remote(peer)) => send_over_link(node, &peer, call, deadline).await,
         None => never_arrived(call.purpose(), given, Reason::LinkLost),
     };
-    allowance.return_unspent(delivery.answer.retries_unspent, given);
-    delivery
+    allowance.return_unspent(result.answer.retries_unspent, given);
+    result
 }
 
-/// A caller that goes drops this: what may be cancelled ends with it, and what
-/// may not goes on in a task of its own.
-async fn receive_here(node: &Arc<Node>, call: Call) -> Answer {
+/// Handles a call that was placed on this node itself. If its caller disconnects, this future
+/// is dropped: a call that may be cancelled ends with it, one that may not continues in its own
+/// task.
+async fn receive_locally(node: &Arc<Node>, call: Call) -> Answer {
     let cancelled = CancellationToken::new();
     if call.purpose() != CallPurpose::PlacedOnce {
         return receive(node, call, &cancelled).await;
@@ -69,50 +69,51 @@
         .unwrap_or_else(|_| unknown_answer(Reason::UpstreamFailed))
 }
 
-async fn send_over_link(node: &Node, peer: &Peer, mut call: Call, deadline: Instant) -> Delivery {
+async fn send_over_link(node: &Node, peer: &Peer, mut call: Call, deadline: Instant) -> SendResult {
     let purpose = call.purpose();
     let given = call.retries_given;
     let span = CallSpan::begin(node, SpanName::Link, &mut call);
-    let delivery = match node.links.call(peer, call, deadline).await {
-        SendOutcome::Answer(answer) => Delivery {
+    let result = match node.links.call(peer, call, deadline).await {
+        SendOutcome::Answer(answer) => SendResult {
             answer,
-            is_receivers_word: true,
+            is_from_receiver: true,
         },
         SendOutcome::NeverArrived(reason) => never_arrived(purpose, given, reason),
-        SendOutcome::Unknown(reason) => Delivery {
+        SendOutcome::Unknown(reason) => SendResult {
             answer: unknown_answer(reason),
-            is_receivers_word: false,
+            is_from_receiver: false,
         },
     };
     node.waits.link.observe(span.elapsed());
-    span.end(node, &delivery.answer, || format!("to {}", peer.node_id));
-    delivery
+    span.end(node, &result.answer, || format!("to {}", peer.node_id));
+    result
 }
 
-/// Failure: a caller sends a ticket again, and the home cannot be reached.
-/// Symptom: it is told that its booking was not run, though the first send ran
-/// it. That this send never arrived says nothing of earlier ones; only the home
-/// can say `not_run` of a ticket.
-fn never_arrived(purpose: CallPurpose, given: u32, reason: Reason) -> Delivery {
+/// Returns the result of a send that did not reach its receiver.
+///
+/// For a ticket, the outcome is `unknown`: an earlier send may have run it, and only its home
+/// can tell. Otherwise, a caller that resends a ticket while the home is unreachable would be
+/// told that its booking was not run, although the first send ran it.
+fn never_arrived(purpose: CallPurpose, given: u32, reason: Reason) -> SendResult {
     let end = if purpose == CallPurpose::Home {
         unknown_answer(reason)
     } else {
         not_run_answer(reason, None)
     };
-    Delivery {
+    SendResult {
         answer: Answer {
             retries_unspent: given,
             ..end
         },
-        is_receivers_word: false,
+        is_from_receiver: false,
     }
 }
 
 fn time_left_us(deadline: Instant) -> u64 {
-    micros_left(deadline - TIME_FOR_THE_WAY_BACK)
+    micros_left(deadline - ANSWER_RETURN_MARGIN)
 }
 
-/// Time left as it travels with a call.
+/// Returns the time left as it is sent with a call.
 pub(super) fn micros_left(until: Instant) -> u64 {
     let left = until.saturating_duration_since(Instant::now());
     u64::try_from(left.as_micros()).unwrap_or(u64::MAX)
--- a/crates/hemlocktack-node/src/calls/enter.rs
+++ b/crates/hemlocktack-node/src/calls/entry.rs
@@ -1,4 +1,4 @@
-//! The entry: a caller's request, or a deeper call of the own upstream.
+//! Entry of requests: those of callers and the child calls of this node's upstream.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -9,8 +9,8 @@
 use crate::callers::{CallerAnswer, CallerRequest};
 use crate::node::Node;
 
-/// Takes a request and answers it as soon as its end is known. It is counted
-/// as in flight by whoever reads it and sends its answer.
+/// Handles a request and returns its answer as soon as the outcome is known. The code that reads
+/// the request and sends the answer counts it as in flight.
 pub(crate) async fn handle_request(node: &Arc<Node>, request: CallerRequest) -> CallerAnswer {
     let started = Instant::now();
     let has_key = request.idempotency_key.is_some();
@@ -18,7 +18,7 @@
         Ok(classified) => classified,
         Err(reason) => return refused_answer(reason, has_key),
     };
-    if let Some(reason) = refuses_new_roots(node, &classified) {
+    if let Some(reason) = root_refusal_reason(node, &classified) {
         return refused_answer(reason, has_key && !classified.idempotent);
     }
     if let Some(parent) = &classified.parent {
@@ -31,33 +31,32 @@
     CallerAnswer::from_answer(answer)
 }
 
-/// What this node refuses, another may have let run before.
+/// Returns the answer to a request that this node refuses.
 ///
-/// Failure: a booking runs through one node, its answer is lost, and the caller
-/// sends it again to a node that drains. Told `not_run`, the caller would book
-/// once more with a fresh ticket. A request with a key may have been sent
-/// before, so a refusal that depends on the node, on its configuration or on
-/// what the caller sent this time says nothing of it.
+/// A request with an idempotency key may have run through another node before. If its answer was
+/// lost and the caller resends it to a node that drains, `not_run` would make the caller book
+/// again with a fresh ticket. A refusal that depends on this node, on its configuration or on
+/// what the caller sent this time is therefore answered with `unknown`.
 pub(crate) fn refused_answer(reason: Reason, may_have_been_sent: bool) -> CallerAnswer {
-    let is_of_this_send = matches!(
+    let depends_on_this_send = matches!(
         reason,
         Reason::UnknownService
             | Reason::BodyTooLarge
-            // A limit or a kind of caller that another generation has, or a cut body.
+            // A limit or caller kind may differ in another generation, or the body was cut off.
             | Reason::MalformedRequest
             | Reason::ContextExpired
             | Reason::Starting
             | Reason::Draining
     );
-    if may_have_been_sent && is_of_this_send {
+    if may_have_been_sent && depends_on_this_send {
         return CallerAnswer::from_answer(unknown_answer(reason));
     }
     CallerAnswer::refused(reason)
 }
 
-/// Deeper calls of requests in flight are taken to the end, also while the
-/// node drains: refusing them would cut those requests off.
-fn refuses_new_roots(node: &Node, classified: &ClassifiedCall) -> Option<Reason> {
+/// Returns why this node accepts no new root requests, if it does not. Child calls are accepted
+/// even while the node drains, because refusing them would break requests in flight.
+fn root_refusal_reason(node: &Node, classified: &ClassifiedCall) -> Option<Reason> {
     if classified.parent.is_some() {
         return None;
     }
--- a/crates/hemlocktack-node/src/calls/home.rs
+++ b/crates/hemlocktack-node/src/calls/home.rs
@@ -1,4 +1,4 @@
-//! The home of a ticket: the one node start that may let its request run.
+//! Home of a ticket: the one node incarnation that decides whether its request runs.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -8,27 +8,27 @@
 use hemlocktack_fleet::tickets::{Nonce, StartDecision, Ticket};
 use hemlocktack_protocol::{Answer, Call, CallFailure, CallPurpose, Outcome, Reason};
 
-use super::deliver::{Delivery, send_with_allowance};
-use super::ends::unfinished;
-use super::home_table::EndReceiver;
-use super::open_send::OpenSend;
-use super::place::choose;
-use super::receive::refuses_all;
-use super::run::{RunOrder, run};
+use super::deliver::{SendResult, send_with_allowance};
+use super::home_table::OutcomeReceiver;
+use super::in_flight_send::InFlightSend;
+use super::outcomes::call_failure;
+use super::place::choose_peer;
+use super::receive::refusal_reason;
+use super::run::{RunRequest, run};
 use super::service_directory::{PeerEntry, ServiceView};
 use super::{not_run_answer, unknown_answer};
 use crate::node::Node;
 
-/// Nodes that a busy home hands a request to before it refuses it. One more
-/// try than an idempotent call gets: a booking is shed last.
-const DELEGATIONS_MAX: usize = 2;
+/// Nodes that a busy home delegates a request to before it refuses the request. This is one
+/// attempt more than an idempotent call gets, since a booking is shed last.
+const MAX_DELEGATIONS: usize = 2;
 
-/// A call whose ticket names this node start, or one that it took over from.
+/// Handles a call whose ticket names this node incarnation, or one whose tickets it took over.
 pub(super) async fn receive_home(node: &Arc<Node>, call: Call, deadline: Instant) -> Answer {
     let ticket = match Ticket::decode(&node.keys, &call.service, &call.ticket) {
         Ok(ticket) => ticket,
-        // Signed with a key that this node does not hold: while keys are
-        // changed, another start may have run it under that key.
+        // Signed with a key that this node does not have. During a key rotation, another
+        // incarnation may have run the call under that key.
         Err(error) => {
             return Answer {
                 retries_unspent: call.retries_given,
@@ -40,24 +40,24 @@
     let (start, end) = node.home.start(&ticket, call.fingerprint);
     let answer = match start {
         StartDecision::Run => {
-            // Apart from this send: its link or its caller may go while the
-            // request runs, and a re-send must find the end all the same.
+            // Runs in its own task: the link or the caller may disconnect while the request
+            // runs, and a resend must still find its outcome.
             tokio::spawn(boxed_run(node.clone(), call, ticket.nonce, deadline));
-            return wait_for_end(end, deadline).await;
+            return wait_for_outcome(end, deadline).await;
         }
-        StartDecision::Join => wait_for_end(end, deadline).await,
+        StartDecision::Join => wait_for_outcome(end, deadline).await,
         StartDecision::Answered(answer) => Arc::unwrap_or_clone(answer),
         StartDecision::AnswerNotKept => unknown_answer(Reason::AnswerNotKept),
-        StartDecision::Refused(refused) => from_unfinished(refused),
+        StartDecision::Refused(refused) => answer_of_failure(refused),
     };
-    // Only the send that began the run can have spent retries.
+    // Only the send that started the run can have spent retries.
     Answer {
         retries_unspent: retries_given,
         ..answer
     }
 }
 
-async fn wait_for_end(end: Option<EndReceiver>, deadline: Instant) -> Answer {
+async fn wait_for_outcome(end: Option<OutcomeReceiver>, deadline: Instant) -> Answer {
     let Some(mut end) = end else {
         return unknown_answer(Reason::AnswerNotKept);
     };
@@ -72,14 +72,14 @@
     }
 }
 
-fn from_unfinished(unfinished: CallFailure) -> Answer {
-    match unfinished {
+fn answer_of_failure(failure: CallFailure) -> Answer {
+    match failure {
         CallFailure::NotRun(refusal) => not_run_answer(refusal.reason, refusal.retry_after),
         CallFailure::Unknown(reason) => unknown_answer(reason),
     }
 }
 
-/// A home's run may send to this node itself, so its type has to end somewhere.
+/// Boxes the run: it may send to this node itself, which makes its future type recursive.
 fn boxed_run(
     node: Arc<Node>,
     call: Call,
@@ -89,31 +89,31 @@
     Box::pin(run_home(node, call, nonce, deadline))
 }
 
-/// Runs the request here or, if this upstream is busy, on one other at a time.
+/// Runs the request on this node or, if its upstream is busy, on other nodes one at a time.
 async fn run_home(node: Arc<Node>, call: Call, nonce: Nonce, deadline: Instant) {
     let _in_flight = node.track_call();
-    let mut answer = run_here(&node, &call, nonce, deadline).await;
+    let mut answer = run_locally(&node, &call, nonce, deadline).await;
     let mut excluded = node
         .services
         .service(&call.service)
         .and_then(|view| own_index(&node, &view));
-    for _ in 0..DELEGATIONS_MAX {
-        let may_go_on = unfinished(&answer).is_some_and(|unfinished| {
-            matches!(unfinished, CallFailure::NotRun(refusal) if may_move(refusal.reason))
-        });
+    for _ in 0..MAX_DELEGATIONS {
+        let may_go_on = call_failure(&answer).is_some_and(
+            |failure| matches!(failure, CallFailure::NotRun(refusal) if may_move(refusal.reason)),
+        );
         if !may_go_on {
             break;
         }
         let Some(view) = node.services.service(&call.service) else {
             break;
         };
-        let Some(index) = choose(&view, excluded) else {
+        let Some(index) = choose_peer(&view, excluded) else {
             break;
         };
         if Some(index) == own_index(&node, &view) {
             break;
         }
-        answer = run_there(&node, &call, nonce, &view.peers[index], deadline).await;
+        answer = delegate_to(&node, &call, nonce, &view.peers[index], deadline).await;
         excluded = Some(index);
     }
     node.home.end(nonce, answer);
@@ -125,14 +125,14 @@
         .position(|peer| peer.identity == node.identity)
 }
 
-async fn run_here(node: &Arc<Node>, call: &Call, nonce: Nonce, deadline: Instant) -> Answer {
-    if let Some(reason) = refuses_all(node, call) {
+async fn run_locally(node: &Arc<Node>, call: &Call, nonce: Nonce, deadline: Instant) -> Answer {
+    if let Some(reason) = refusal_reason(node, call) {
         return not_run_answer(reason, None);
     }
     let started = || node.home.table().mark_started(nonce).is_ok();
     let answer = run(
         node,
-        RunOrder {
+        RunRequest {
             call: call.clone(),
             nonce: Some(nonce),
             deadline,
@@ -141,15 +141,15 @@
     )
     .await;
     if answer.outcome() == Outcome::NotRun {
-        // The upstream may have shed it after the start was recorded. The call
-        // is still this task's alone, so a ticket that was not started stays so.
+        // The upstream may have shed the call after its start was recorded. Only this task
+        // owns the call, so a ticket that was not started stays that way.
         let _ = node.home.table().requeue(nonce);
     }
     answer
 }
 
-/// Sends it to another node of the service, recorded before the first byte.
-async fn run_there(
+/// Sends the request to another node of the service; records that before the first byte leaves.
+async fn delegate_to(
     node: &Arc<Node>,
     call: &Call,
     nonce: Nonce,
@@ -167,9 +167,10 @@
     let mut call = call.clone();
     call.purpose = CallPurpose::Delegated.into();
     let allowance = hemlocktack_decide::RetryAllowance::new(call.retries_given);
-    let open_send = OpenSend::begin(peer);
-    let Delivery { answer, .. } = send_with_allowance(node, peer, call, deadline, &allowance).await;
-    open_send.end(&answer);
+    let in_flight_send = InFlightSend::begin(peer);
+    let SendResult { answer, .. } =
+        send_with_allowance(node, peer, call, deadline, &allowance).await;
+    in_flight_send.finish(&answer);
     if answer.outcome() == Outcome::NotRun {
         let given_back = node.home.table().requeue_from(nonce, &peer.identity);
         if given_back.is_err() {
--- a/crates/hemlocktack-node/src/calls/home_table.rs
+++ b/crates/hemlocktack-node/src/calls/home_table.rs
@@ -1,4 +1,4 @@
-//! What a home remembers of its tickets, and who waits for their ends.
+//! Tickets that a node is the home of, and the tasks that wait for their outcomes.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -10,17 +10,17 @@
 use hemlocktack_protocol::{Answer, Fingerprint, Outcome};
 use tokio::sync::watch;
 
-use super::ends::{not_run_answer, unknown_answer};
+use super::outcomes::{not_run_answer, unknown_answer};
 
-/// Kept answers dropped at once when the operators lower their memory.
+/// Bytes of kept answers dropped per step when operators lower their memory limit.
 const SHRINK_STEP_BYTES: usize = 64 << 10;
 
-pub(super) type EndReceiver = watch::Receiver<Option<Arc<Answer>>>;
+pub(super) type OutcomeReceiver = watch::Receiver<Option<Arc<Answer>>>;
 
-/// Tickets that this node start is home of, and who waits for their ends.
+/// Tickets that this node incarnation is the home of, and the tasks that wait for outcomes.
 pub(crate) struct TicketHome {
     table: Mutex<TicketTable>,
-    ends: Mutex<HashMap<Nonce, watch::Sender<Option<Arc<Answer>>>>>,
+    outcome_senders: Mutex<HashMap<Nonce, watch::Sender<Option<Arc<Answer>>>>>,
 }
 
 impl TicketHome {
@@ -32,7 +32,7 @@
         );
         Self {
             table: Mutex::new(table),
-            ends: Mutex::default(),
+            outcome_senders: Mutex::default(),
         }
     }
 
@@ -40,12 +40,11 @@
         self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes the memory for answers.
+    /// Changes the memory limit for kept answers.
     ///
-    /// Failure: with a much smaller budget, a hundred thousand answers are
-    /// dropped under the lock that every call with a ticket takes; bookings
-    /// stall for a configuration change. In steps of a few answers the lock is
-    /// free in between.
+    /// Works in steps of a few answers and releases the lock in between. Dropping a hundred
+    /// thousand answers at once, after the limit was lowered by a lot, would stall bookings:
+    /// every call with a ticket takes this lock.
     pub(crate) fn set_kept_answer_bytes(&self, target_bytes: usize) {
         loop {
             let mut table = self.table();
@@ -57,35 +56,41 @@
         }
     }
 
-    fn ends(&self) -> MutexGuard<'_, HashMap<Nonce, watch::Sender<Option<Arc<Answer>>>>> {
-        self.ends.lock().unwrap_or_else(PoisonError::into_inner)
+    fn outcome_senders(
+        &self,
+    ) -> MutexGuard<'_, HashMap<Nonce, watch::Sender<Option<Arc<Answer>>>>> {
+        self.outcome_senders
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Decides on a call with a ticket and finds the end to wait for. Both
-    /// under one lock: an end between them would leave a joiner waiting.
+    /// Decides on a call with a ticket and returns the outcome to wait for. Both happen under
+    /// one lock: an outcome recorded in between would leave a joining call waiting.
     pub(super) fn start(
         &self,
         ticket: &Ticket,
         fingerprint: Fingerprint,
-    ) -> (StartDecision, Option<EndReceiver>) {
-        let mut ends = self.ends();
+    ) -> (StartDecision, Option<OutcomeReceiver>) {
+        let mut outcome_senders = self.outcome_senders();
         let start = self.table().start(ticket, fingerprint);
         let end = match start {
             StartDecision::Run => {
                 let (sender, receiver) = watch::channel(None);
-                ends.insert(ticket.nonce, sender);
+                outcome_senders.insert(ticket.nonce, sender);
                 Some(receiver)
             }
-            StartDecision::Join => ends.get(&ticket.nonce).map(watch::Sender::subscribe),
+            StartDecision::Join => outcome_senders
+                .get(&ticket.nonce)
+                .map(watch::Sender::subscribe),
             _ => None,
         };
         (start, end)
     }
 
-    /// Records the end for good and tells everyone who waits for it.
+    /// Records the final outcome of a ticket and notifies every task that waits for it.
     pub(super) fn end(&self, nonce: Nonce, answer: Answer) {
         let mut answer = Arc::new(answer);
-        let mut ends = self.ends();
+        let mut outcome_senders = self.outcome_senders();
         let recorded = match answer.outcome() {
             Outcome::Answered => self.table().record_answer(nonce, answer.clone()),
             Outcome::NotRun => self.table().refuse(nonce, answer.reason()),
@@ -93,15 +98,15 @@
                 self.table().record_unknown(nonce, answer.reason())
             }
         };
-        // The freeze of a handover fenced it while it waited: the successor
-        // says so too, and both must say the same.
+        // A handover froze the table and fenced the ticket while the call waited. The
+        // successor reports it as fenced, and both must report the same.
         if recorded.is_err() {
             answer = Arc::new(match self.table().outcome_of(nonce) {
                 Some(TicketOutcome::NotRun(reason)) => not_run_answer(reason, None),
                 _ => unknown_answer(answer.reason()),
             });
         }
-        if let Some(waiting) = ends.remove(&nonce) {
+        if let Some(waiting) = outcome_senders.remove(&nonce) {
             waiting.send_replace(Some(answer));
         }
     }
--- a/crates/hemlocktack-node/src/calls/open_send.rs
+++ b/crates/hemlocktack-node/src/calls/in_flight_send.rs
@@ -1,4 +1,4 @@
-//! One send of a call as its peer's load counts it.
+//! A send that is counted in the load of its peer.
 
 use std::time::Instant;
 
@@ -7,14 +7,14 @@
 
 use super::service_directory::PeerEntry;
 
-/// A send whose end its peer's load is told, also where nobody waits for it any
-/// more.
-pub(super) struct OpenSend<'a> {
+/// A send in progress; its end is reported to the peer's load even if nobody waits for it any
+/// longer.
+pub(super) struct InFlightSend<'a> {
     load: &'a PeerLoad,
     is_open: bool,
 }
 
-impl<'a> OpenSend<'a> {
+impl<'a> InFlightSend<'a> {
     pub(super) fn begin(peer: &'a PeerEntry) -> Self {
         let load = peer.as_ref();
         load.sent(Instant::now());
@@ -24,7 +24,7 @@
         }
     }
 
-    pub(super) fn end(mut self, answer: &Answer) {
+    pub(super) fn finish(mut self, answer: &Answer) {
         self.is_open = false;
         let now = Instant::now();
         match (answer.outcome(), &answer.hint) {
@@ -37,7 +37,7 @@
     }
 }
 
-impl Drop for OpenSend<'_> {
+impl Drop for InFlightSend<'_> {
     fn drop(&mut self) {
         if self.is_open {
             self.load.abandoned();
--- a/crates/hemlocktack-node/src/calls/mod.rs
+++ b/crates/hemlocktack-node/src/calls/mod.rs
@@ -1,18 +1,22 @@
-//! The way of a call: from a caller to a node beside an upstream and back.
+//! Call processing: from a caller's request to a node next to an upstream and back.
 //!
-//! Caller side: [`handle_request`] classifies a call, places it and stays with it until
-//! its end is known. Upstream side: [`receive`] admits a call, runs it and
-//! answers with what became of it.
+//! On the caller side, [`handle_request`] classifies a call, selects a node for it and waits
+//! until its outcome is known. On the upstream side, [`receive`] admits a call, runs it and
+//! returns its outcome.
+//!
+//! A call that an upstream makes while it runs another call is a child call; the other one is
+//! its parent. A call without a parent is a root request.
 
 mod admission_queue;
+mod attempts;
 mod classify;
 mod context;
 mod deliver;
-mod ends;
-mod enter;
+mod entry;
 mod home;
 mod home_table;
-mod open_send;
+mod in_flight_send;
+mod outcomes;
 mod panics;
 mod place;
 mod receive;
@@ -22,14 +26,13 @@
 #[cfg(test)]
 mod tests;
 mod ticketed;
-mod tries;
 
 pub(crate) use admission_queue::AdmissionQueue;
 pub(crate) use classify::{ClassifiedCall, classify, fingerprint, work_kind_of};
 pub(crate) use context::{ContextTable, RunningCall, objective_of};
-pub(crate) use ends::{not_run_answer, retry_after, unknown_answer};
-pub(crate) use enter::{handle_request, refused_answer};
+pub(crate) use entry::{handle_request, refused_answer};
 pub(crate) use home_table::TicketHome;
+pub(crate) use outcomes::{not_run_answer, retry_after, unknown_answer};
 pub(crate) use panics::catch_panic;
 pub(crate) use place::run_with_retries;
 pub(crate) use receive::receive;
--- a/crates/hemlocktack-node/src/calls/ends.rs
+++ b/crates/hemlocktack-node/src/calls/outcomes.rs
@@ -1,14 +1,14 @@
-//! Answers that are not an upstream's.
+//! Answers that a node produces itself, and the classification of failures.
 
 use std::time::Duration;
 
 use hemlocktack_decide::RetryAfterPolicy;
 use hemlocktack_protocol::{Answer, CallFailure, Outcome, Reason, Refusal};
 
-/// Pressure behind a refusal that has other causes than load.
-pub(crate) const NOTHING_SHED: f64 = 0.0;
+/// Overload level of a refusal that has a cause other than load.
+pub(crate) const NO_CLASSES_SHED: f64 = 0.0;
 
-/// Nothing ran and nothing will.
+/// Returns the answer to a call that did not run and never will.
 pub(crate) fn not_run_answer(reason: Reason, retry_after: Option<Duration>) -> Answer {
     let retry_after_ms = retry_after.map_or(0, |wait| {
         u32::try_from(wait.as_millis()).unwrap_or(u32::MAX)
@@ -21,7 +21,7 @@
     }
 }
 
-/// An upstream may have started it.
+/// Returns the answer to a call that an upstream may have started.
 pub(crate) fn unknown_answer(reason: Reason) -> Answer {
     Answer {
         outcome: Outcome::Unknown.into(),
@@ -30,8 +30,9 @@
     }
 }
 
-/// Whether a call failed because a service had no room for it, or one below it.
-pub(crate) fn lacked_room(answer: &Answer) -> bool {
+/// Whether a call failed because its service, or one that its child calls went to, lacked
+/// capacity.
+pub(crate) fn lacked_capacity(answer: &Answer) -> bool {
     let is_load = matches!(
         answer.reason(),
         Reason::QueueFull
@@ -46,25 +47,25 @@
     }
 }
 
-/// When the caller may come back: as those said who refused it, or soon where
-/// they said nothing and the reason passes by itself.
+/// Returns when the caller may retry: after the time that the refusing node gave, or soon if it
+/// gave none and the reason is transient.
 pub(crate) fn retry_after(answer: &Answer) -> Option<Duration> {
     if answer.retry_after_ms > 0 {
         return Some(Duration::from_millis(answer.retry_after_ms.into()));
     }
-    let passes = answer.outcome() == Outcome::NotRun && passes_by_itself(answer.reason());
-    passes.then(|| wait_before_return(NOTHING_SHED))
+    let passes = answer.outcome() == Outcome::NotRun && is_transient(answer.reason());
+    passes.then(|| retry_delay(NO_CLASSES_SHED))
 }
 
-/// When a caller that is refused here should come back. How far demand exceeds
-/// capacity is not known at the entry; the number of classes that are shed
-/// grows with it, as each is a good part of the demand.
-pub(crate) fn wait_before_return(classes_shed: f64) -> Duration {
+/// Returns when a caller that is refused here should retry. The entry node does not know how far
+/// demand exceeds capacity. The number of shed classes approximates it, since each class is a
+/// considerable part of the demand.
+pub(crate) fn retry_delay(classes_shed: f64) -> Duration {
     hemlocktack_decide::retry_after(classes_shed, rand::random(), &RetryAfterPolicy::default())
 }
 
-/// Whether the same request may get an answer a little later.
-fn passes_by_itself(reason: Reason) -> bool {
+/// Whether the same request may succeed a little later.
+fn is_transient(reason: Reason) -> bool {
     matches!(
         reason,
         Reason::NoUpstream
@@ -85,8 +86,8 @@
     )
 }
 
-/// The end of a call as the decisions see it; `None` for an answer.
-pub(super) fn unfinished(answer: &Answer) -> Option<CallFailure> {
+/// Converts an answer to the failure that retry decisions use; `None` for an answered call.
+pub(super) fn call_failure(answer: &Answer) -> Option<CallFailure> {
     let reason = answer.reason();
     match answer.outcome() {
         Outcome::Answered => None,
--- a/crates/hemlocktack-node/src/calls/panics.rs
+++ b/crates/hemlocktack-node/src/calls/panics.rs
@@ -1,4 +1,4 @@
-//! A panic in the work on a request ends that request and nothing else.
+//! Limits a panic while handling a request to that request.
 
 use std::panic::AssertUnwindSafe;
 
@@ -8,12 +8,12 @@
 
 use super::unknown_answer;
 
-/// What the work comes to; where it panics, that its end is unknown.
+/// Returns the answer of `work`, or an unknown outcome if it panics.
 ///
-/// Failure: the task of a connection or of a call ends, and whoever waits for its
-/// answer gets a closed connection, or waits for the whole patience.
+/// An uncaught panic would end the task of a connection or of a call. Whoever waits for the
+/// answer would get a closed connection or wait until its timeout.
 pub(crate) async fn catch_panic(request_id: &str, work: impl Future<Output = Answer>) -> Answer {
-    // What is shared is behind locks that take over after a panic.
+    // Shared state is behind locks that recover from poisoning.
     let worked = AssertUnwindSafe(work).catch_unwind().await;
     worked.unwrap_or_else(|_| {
         log_event!(Event::RequestPanicked, request_id);
--- a/crates/hemlocktack-node/src/calls/place.rs
+++ b/crates/hemlocktack-node/src/calls/place.rs
@@ -1,4 +1,4 @@
-//! Placing a call on a node of its service, and sending it again where that is allowed.
+//! Placement of a call on a node of its service, and retries.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -11,57 +11,57 @@
 use hemlocktack_telemetry::{Event, log_event};
 
 use super::ClassifiedCall;
+use super::attempts::CallAttempts;
 use super::deliver::{micros_left, send_with_allowance};
-use super::ends::{NOTHING_SHED, not_run_answer, unfinished, unknown_answer, wait_before_return};
-use super::open_send::OpenSend;
+use super::in_flight_send::InFlightSend;
+use super::outcomes::{NO_CLASSES_SHED, call_failure, not_run_answer, retry_delay, unknown_answer};
 use super::service_directory::{PeerEntry, ServiceView};
-use super::tries::Tries;
 use crate::node::Node;
 
-/// Places a call without a ticket and stays with it until its end. One that is
-/// not idempotent goes to another node only after the one before has proved
-/// that it has not run there.
+/// Sends a call without a ticket to a node of its service, retries it where allowed, and returns
+/// its answer. A call that is not idempotent goes to another node only after the previous one
+/// has confirmed that the call did not run there.
 pub(crate) async fn run_with_retries(node: &Arc<Node>, classified: &ClassifiedCall) -> Answer {
-    let view = match admitted_view(node, classified) {
+    let view = match admit_at_entry(node, classified) {
         Ok(view) => view,
         Err(refusal) => return not_run_answer(refusal.reason, refusal.retry_after),
     };
-    count_try(&view, &classified.call);
+    count_in_retry_budget(&view, &classified.call);
     let purpose = match classified.idempotent {
         true => CallPurpose::Placed,
         false => CallPurpose::PlacedOnce,
     };
-    let mut tries = Tries::new(classified);
+    let mut attempts = CallAttempts::new(classified);
     loop {
-        let Some(index) = tries.next(&view, classified) else {
-            return tries.told_or_no_upstream();
+        let Some(index) = attempts.next_peer(&view, classified) else {
+            return attempts.into_answer();
         };
-        if let Some(pause) = tries.sends.resend_delay() {
+        if let Some(pause) = attempts.sends.resend_delay() {
             tokio::time::sleep(pause).await;
         }
-        let is_repeat = tries.sends.is_repeat();
+        let is_repeat = attempts.sends.is_repeat();
         let answer = attempt(node, &view, index, classified, purpose, is_repeat).await;
-        let Some(unfinished) = unfinished(&answer) else {
+        let Some(failure) = call_failure(&answer) else {
             return answer;
         };
-        let expected = expected_run(&answer);
-        tries.ended(index, unfinished, answer);
-        let has_node_left = tries.next(&view, classified).is_some();
-        let retry = || take_retry(node, &unfinished, classified, &view, expected);
-        let next = tries.sends.next_step(&unfinished, has_node_left, retry);
+        let expected = expected_service_time(&answer);
+        attempts.record_failure(index, failure, answer);
+        let has_node_left = attempts.next_peer(&view, classified).is_some();
+        let retry = || take_retry(node, &failure, classified, &view, expected);
+        let next = attempts.sends.next_step(&failure, has_node_left, retry);
         node.counters.record_send_end(next);
         let peer = &view.peers[index];
-        log_unfinished(node, classified, peer, &unfinished, next, &tries.sends);
+        log_failed_send(node, classified, peer, &failure, next, &attempts.sends);
         if !next.sends_again() {
-            return tries.told_or_no_upstream();
+            return attempts.into_answer();
         }
     }
 }
 
-/// A deeper call of a run that was itself repeated adds to its service's load as
-/// a retry does, and nobody is asked for it: counted as a first try, it would
-/// earn that service's edge a share of retries.
-fn count_try(view: &ServiceView, call: &Call) {
+/// Counts a call in the retry budget of its edge. A child call of a repeated run adds load to its
+/// service like a retry, but no budget is charged for it. Counted as a first attempt, it would
+/// increase the retry budget of that edge.
+fn count_in_retry_budget(view: &ServiceView, call: &Call) {
     let now = Instant::now();
     match call.is_repeat {
         true => view.edge.record_repeated_call(now),
@@ -69,19 +69,19 @@
     }
 }
 
-fn log_unfinished(
+fn log_failed_send(
     node: &Node,
     classified: &ClassifiedCall,
     peer: &PeerEntry,
-    unfinished: &CallFailure,
+    failure: &CallFailure,
     next: NextStep,
     sends: &CallSends,
 ) {
     let Some(left_out) = node.call_log_limiter.try_acquire() else {
         return;
     };
-    let outcome: &'static str = unfinished.outcome().into();
-    let reason: &'static str = unfinished.reason().into();
+    let outcome: &'static str = failure.outcome().into();
+    let reason: &'static str = failure.reason().into();
     let because: &'static str = next.into();
     let time_left = classified
         .deadline
@@ -105,9 +105,9 @@
     );
 }
 
-/// The service's nodes, if the request is not in quarantine and the service's
-/// shed level lets it through: what would be refused there costs nothing here.
-pub(crate) fn admitted_view(
+/// Returns the service's nodes if the request is not in quarantine and the service's shed level
+/// admits it. Refusing a request here saves sending it to a node that would refuse it.
+pub(crate) fn admit_at_entry(
     node: &Node,
     classified: &ClassifiedCall,
 ) -> Result<Arc<ServiceView>, Refusal> {
@@ -119,25 +119,28 @@
         });
     }
     let Some(view) = node.services.service(&call.service) else {
-        let retry_after = Some(wait_before_return(NOTHING_SHED));
+        let retry_after = Some(retry_delay(NO_CLASSES_SHED));
         return Err(Refusal {
             reason: Reason::NoUpstream,
             retry_after,
         });
     };
-    let invested = call.work_spent_us > 0;
+    let has_prior_work = call.work_spent_us > 0;
     if view.admits(
         classified.kind,
         classified.class_rank,
         call.root_request_id,
-        invested,
+        has_prior_work,
     ) {
         return Ok(view);
     }
-    let classes_shed = view.level(classified.kind).classes_shed(node.class_count());
-    let wait = wait_before_return(classes_shed);
+    let classes_shed = view
+        .shed_level(classified.kind)
+        .classes_shed(node.class_count());
+    let wait = retry_delay(classes_shed);
     let wait = classified.objective.map_or(wait, |objective| {
-        // How long it would run is known where it was sent; half is usual.
+        // The service time is known only where the call is sent; half of the time left is
+        // typical.
         let left = objective.saturating_duration_since(Instant::now());
         cap_to_objective(wait, left, left / 2)
     });
@@ -147,20 +150,20 @@
     })
 }
 
-/// The peer that a call goes to next.
-pub(crate) fn choose(view: &ServiceView, excluded: Option<usize>) -> Option<usize> {
-    choose_among(view, |index| Some(index) != excluded, None)
+/// Chooses the peer that a call is sent to.
+pub(crate) fn choose_peer(view: &ServiceView, excluded: Option<usize>) -> Option<usize> {
+    choose_peer_among(view, |index| Some(index) != excluded, None)
 }
 
-pub(super) fn choose_among(
+pub(super) fn choose_peer_among(
     view: &ServiceView,
-    may_get_it: impl Fn(usize) -> bool,
+    may_send_to: impl Fn(usize) -> bool,
     objective: Option<Instant>,
 ) -> Option<usize> {
     let now = Instant::now();
     place(
         &view.peers,
-        may_get_it,
+        may_send_to,
         objective.map(|objective| objective.saturating_duration_since(now)),
         now,
         &PlacementPolicy::default(),
@@ -168,7 +171,7 @@
     )
 }
 
-/// One send of the call to one peer, with its share of the retry allowance.
+/// Sends the call once to one peer, with a share of the retry allowance.
 pub(crate) async fn attempt(
     node: &Arc<Node>,
     view: &ServiceView,
@@ -182,7 +185,7 @@
     call.purpose = purpose.into();
     call.is_repeat |= is_repeat;
     call.objective_left_us = classified.objective.map_or(0, micros_left);
-    let open_send = OpenSend::begin(peer);
+    let in_flight_send = InFlightSend::begin(peer);
     classified.sends.begin(peer);
     let ClassifiedCall {
         deadline,
@@ -191,25 +194,25 @@
     } = classified;
     let sending = send_with_allowance(node, peer, call, *deadline, allowance);
     let answer = tokio::select! {
-        delivery = sending => delivery.answer,
-        () = silence(peer.as_ref()), if purpose == CallPurpose::Placed => {
+        result = sending => result.answer,
+        () = until_peer_lost(peer.as_ref()), if purpose == CallPurpose::Placed => {
             unknown_answer(Reason::LinkLost)
         }
     };
     if let Some(hint) = &answer.hint {
-        view.learn(index, classified.kind, hint);
+        view.record_hint(index, classified.kind, hint);
     }
-    open_send.end(&answer);
+    in_flight_send.finish(&answer);
     classified.sends.end(&answer);
     answer
 }
 
-/// Ends once the peer is given up: it owes answers and sends nothing at all.
+/// Returns once the peer counts as lost: it owes answers and sends nothing at all.
 ///
-/// Failure: a node stands still and its links stay open. Symptom: idempotent
-/// calls wait there until their callers give up. What was given away with the
-/// call stays away, so the retry elsewhere is within the request's allowance.
-async fn silence(peer: &PeerLoad) {
+/// Without this, idempotent calls to a node that hangs with open links would wait until their
+/// callers time out. Retries granted with the call are not taken back, so a retry elsewhere
+/// stays within the request's allowance.
+async fn until_peer_lost(peer: &PeerLoad) {
     loop {
         tokio::time::sleep(peer.silence_timeout()).await;
         if peer.is_lost(Instant::now()) {
@@ -218,17 +221,16 @@
     }
 }
 
-/// How long a run takes, as the node said that ended a send; zero where it said
-/// nothing.
-fn expected_run(answer: &Answer) -> Duration {
+/// Returns the service time that the answering node reported; zero if it reported none.
+fn expected_service_time(answer: &Answer) -> Duration {
     let service_time_us = answer.hint.as_ref().map_or(0, |hint| hint.service_time_us);
     Duration::from_micros(service_time_us)
 }
 
-/// Takes a retry from the allowance and the edge, if one may be made.
+/// Decides on a retry; if allowed, takes it from the allowance and from the edge's budget.
 fn take_retry(
     node: &Node,
-    unfinished: &CallFailure,
+    failure: &CallFailure,
     classified: &ClassifiedCall,
     view: &ServiceView,
     expected: Duration,
@@ -246,7 +248,7 @@
         ),
     };
     decide_retry(
-        unfinished,
+        failure,
         classified.idempotent,
         time_left,
         expected,
--- a/crates/hemlocktack-node/src/calls/receive.rs
+++ b/crates/hemlocktack-node/src/calls/receive.rs
@@ -1,4 +1,4 @@
-//! The upstream side: a call that another node, or this one, sent here.
+//! Upstream side: calls that another node, or this one, sent here.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -8,13 +8,13 @@
 use hemlocktack_telemetry::SpanName;
 use tokio_util::sync::CancellationToken;
 
-use super::run::{RunOrder, run};
+use super::run::{RunRequest, run};
 use super::{catch_panic, home, not_run_answer, unknown_answer};
 use crate::node::Node;
 use crate::telemetry::{CallSpan, request_line};
 
-/// Treats a call by its purpose and answers with what became of it. It is
-/// counted as in flight by whoever sends the answer.
+/// Handles a call according to its purpose and returns its outcome. The code that sends the
+/// answer counts the call as in flight.
 pub(crate) async fn receive(
     node: &Arc<Node>,
     mut call: Call,
@@ -24,15 +24,15 @@
     let span = CallSpan::begin(node, SpanName::Hop, &mut call);
     let what = request_line(&call.method, &call.path);
     let request_id = call.request_id.clone();
-    let answer = catch_panic(&request_id, treat(node, call, cancelled)).await;
+    let answer = catch_panic(&request_id, dispatch(node, call, cancelled)).await;
     span.end(node, &answer, || what);
     answer
 }
 
-async fn treat(node: &Arc<Node>, call: Call, cancelled: &CancellationToken) -> Answer {
+async fn dispatch(node: &Arc<Node>, call: Call, cancelled: &CancellationToken) -> Answer {
     let deadline = Instant::now() + Duration::from_micros(call.time_left_us);
     match call.purpose() {
-        // The home answers for a ticket's end even while it drains.
+        // The home reports a ticket's outcome even while it drains.
         CallPurpose::Home => home::receive_home(node, call, deadline).await,
         CallPurpose::Delegated => receive_delegated(node, call, deadline).await,
         CallPurpose::Placed | CallPurpose::Unspecified => {
@@ -42,17 +42,17 @@
     }
 }
 
-/// Runs an idempotent call here; one that its caller has left is cancelled.
+/// Runs an idempotent call on this node; it is cancelled if its caller disconnects.
 async fn receive_placed(
     node: &Arc<Node>,
     call: Call,
     deadline: Instant,
     cancelled: &CancellationToken,
 ) -> Answer {
-    if let Some(reason) = refuses_all(node, &call) {
+    if let Some(reason) = refusal_reason(node, &call) {
         return refused(node, &call, reason);
     }
-    let order = RunOrder {
+    let order = RunRequest {
         call,
         nonce: None,
         deadline,
@@ -64,25 +64,25 @@
     }
 }
 
-/// Runs a call here that its entry sends to one node at a time. Until it is
-/// handed to the upstream, a caller that leaves takes it back; once begun it is
-/// finished, as breaking off a booking helps nobody.
+/// Runs a call that its entry node sends to one node at a time. A caller that disconnects
+/// cancels it until it is forwarded to the upstream. After that it runs to completion, since
+/// aborting a booking halfway helps nobody.
 async fn receive_once(
     node: &Arc<Node>,
     call: Call,
     deadline: Instant,
     cancelled: &CancellationToken,
 ) -> Answer {
-    if let Some(reason) = refuses_all(node, &call) {
+    if let Some(reason) = refusal_reason(node, &call) {
         return refused(node, &call, reason);
     }
-    let begun = CancellationToken::new();
-    let order = RunOrder {
+    let started = CancellationToken::new();
+    let order = RunRequest {
         call,
         nonce: None,
         deadline,
         may_start: || {
-            begun.cancel();
+            started.cancel();
             !cancelled.is_cancelled()
         },
     };
@@ -91,25 +91,25 @@
     tokio::select! {
         biased;
         answer = &mut running => return answer,
-        () = begun.cancelled() => {}
+        () = started.cancelled() => {}
         () = cancelled.cancelled() => return not_run_answer(Reason::Cancelled, None),
     }
     running.await
 }
 
-/// Runs a ticketed call here that its home handed over. It is never cancelled:
-/// once begun it is finished, so that a re-send finds its answer at the home.
+/// Runs a ticketed call that its home delegated to this node. It is never cancelled, so that a
+/// resend finds its answer at the home.
 async fn receive_delegated(node: &Arc<Node>, call: Call, deadline: Instant) -> Answer {
     let ticket = match Ticket::decode(&node.keys, &call.service, &call.ticket) {
         Ok(ticket) => ticket,
         Err(error) => return refused(node, &call, error.reason()),
     };
-    if let Some(reason) = refuses_all(node, &call) {
+    if let Some(reason) = refusal_reason(node, &call) {
         return refused(node, &call, reason);
     }
     run(
         node,
-        RunOrder {
+        RunRequest {
             call,
             nonce: Some(ticket.nonce),
             deadline,
@@ -127,8 +127,8 @@
     }
 }
 
-/// Why this node takes no new work for its upstream, if it takes none.
-pub(super) fn refuses_all(node: &Node, call: &Call) -> Option<Reason> {
+/// Returns why this node accepts no new calls for its upstream, if it does not.
+pub(super) fn refusal_reason(node: &Node, call: &Call) -> Option<Reason> {
     if *call.service != *node.settings.service {
         return Some(Reason::NoUpstream);
     }
--- a/crates/hemlocktack-node/src/calls/run.rs
+++ b/crates/hemlocktack-node/src/calls/run.rs
@@ -1,4 +1,4 @@
-//! Running a call on the upstream beside this node: admission, hand-over, end.
+//! Running a call on this node's upstream: admission, forwarding and outcome.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -9,32 +9,32 @@
 use hemlocktack_telemetry::{Event, SpanName, log_event};
 use tokio::net::TcpStream;
 
-use super::admission_queue::Admitted;
+use super::admission_queue::AdmissionPermit;
 use super::{RunningCall, not_run_answer, objective_of, unknown_answer, work_kind_of};
 use crate::node::Node;
 use crate::telemetry::{CallSpan, request_line};
 use crate::upstream::{UpstreamOutcome, UpstreamRequest};
 
-/// A running upstream accepts a connection in a millisecond; one that does not
-/// within this time has crashed or is as good as crashed.
+/// A running upstream accepts a connection within a millisecond; one that does not within this
+/// time counts as crashed.
 const ALIVE_CHECK_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Statuses from here on say that the upstream failed.
-const SERVER_FAILURES_FROM: u16 = 500;
+/// Lowest HTTP status that reports a failure of the upstream.
+const MIN_SERVER_ERROR_STATUS: u16 = 500;
 
-/// What the run needs beside the call itself.
-pub(crate) struct RunOrder<F> {
+/// A call to run, and the conditions of the run.
+pub(crate) struct RunRequest<F> {
     pub(crate) call: Call,
-    /// Of the call's ticket, checked.
+    /// Nonce of the call's ticket, which has been verified.
     pub(crate) nonce: Option<Nonce>,
     pub(crate) deadline: Instant,
-    /// Asked right before the first byte goes out; `false` keeps it in.
+    /// Called right before the call is forwarded; `false` prevents that.
     pub(crate) may_start: F,
 }
 
-/// Waits for a slot, hands the call to the upstream and reports its end.
-pub(crate) async fn run<F: FnOnce() -> bool>(node: &Arc<Node>, order: RunOrder<F>) -> Answer {
-    let RunOrder {
+/// Waits for a slot, forwards the call to the upstream and returns its outcome.
+pub(crate) async fn run<F: FnOnce() -> bool>(node: &Arc<Node>, order: RunRequest<F>) -> Answer {
+    let RunRequest {
         mut call,
         nonce,
         deadline,
@@ -66,7 +66,7 @@
                 retries_unspent: call.retries_given,
                 ..not_run_answer(refusal.reason, refusal.retry_after)
             };
-            let answer = with_load(node, kind, answer);
+            let answer = with_load_hint(node, kind, answer);
             log_refused(node, &call, &answer, deadline);
             return answer;
         }
@@ -81,12 +81,12 @@
     node.counters.record_admitted();
     let upstream = CallSpan::begin(node, SpanName::Upstream, &mut call);
     let running = RunningCall::new(&call, class_rank, nonce, deadline);
-    let handed_over = Instant::now();
-    let (answer, below) = hand_over(node, &call, running, admitted, kind).await;
-    log_late(node, &call, arrived, handed_over, below);
+    let forwarded = Instant::now();
+    let (answer, child_wait) = forward_to_upstream(node, &call, running, admitted, kind).await;
+    log_late(node, &call, arrived, forwarded, child_wait);
     node.waits.upstream.observe(upstream.elapsed());
     upstream.end(node, &answer, || request_line(&call.method, &call.path));
-    with_load(node, kind, answer)
+    with_load_hint(node, kind, answer)
 }
 
 fn log_refused(node: &Node, call: &Call, answer: &Answer, deadline: Instant) {
@@ -115,11 +115,11 @@
     );
 }
 
-async fn hand_over(
+async fn forward_to_upstream(
     node: &Arc<Node>,
     call: &Call,
     running: RunningCall,
-    admitted: Admitted<'_>,
+    admitted: AdmissionPermit<'_>,
     kind: WorkKind,
 ) -> (Answer, Duration) {
     let Some(announcement) = node.announcement() else {
@@ -144,25 +144,25 @@
     if matches!(end, UpstreamOutcome::Unknown(Reason::UpstreamFailed))
         && !is_alive(announcement.address).await
     {
-        note_crash(node);
+        record_crash(node);
     }
     let running = &context.running;
-    let end = believed(end, running);
-    let ended = ended(&end, running);
-    admitted.finish(ended, running.time_below());
+    let end = corrected_outcome(end, running);
+    let run_result = run_result(&end, running);
+    admitted.finish(run_result, running.child_wait());
     if matches!(end, UpstreamOutcome::Answered { .. }) {
-        node.record_chain_edges(kind, &running.deeper_kinds());
+        node.record_chain_edges(kind, &running.child_kinds());
     }
     let answer = Answer {
         retries_unspent: running.allowance.left(),
         work_spent_us: running.work_spent_us(Instant::now()),
-        lacked_room_below: ended == RunResult::ChildLackedCapacity,
+        lacked_room_below: run_result == RunResult::ChildLackedCapacity,
         ..into_answer(end)
     };
-    (answer, running.time_below())
+    (answer, running.child_wait())
 }
 
-fn log_late(node: &Node, call: &Call, arrived: Instant, handed_over: Instant, below: Duration) {
+fn log_late(node: &Node, call: &Call, arrived: Instant, forwarded: Instant, child_wait: Duration) {
     let objective = Duration::from_micros(call.objective_left_us);
     let elapsed = arrived.elapsed();
     if call.depth > 0 || objective.is_zero() || elapsed <= objective {
@@ -171,34 +171,34 @@
     let Some(left_out) = node.call_log_limiter.try_acquire() else {
         return;
     };
-    let run = handed_over.elapsed();
+    let run = forwarded.elapsed();
     log_event!(
         Event::RunLate,
         request_id = call.request_id,
-        queue_ms = handed_over.duration_since(arrived).as_millis() as u64,
-        own_ms = run.saturating_sub(below).as_millis() as u64,
-        below_ms = below.as_millis() as u64,
+        queue_ms = forwarded.duration_since(arrived).as_millis() as u64,
+        own_ms = run.saturating_sub(child_wait).as_millis() as u64,
+        below_ms = child_wait.as_millis() as u64,
         objective_left_ms = objective.as_millis() as u64,
         left_out
     );
 }
 
-/// What the upstream says, unless the node knows better.
+/// Corrects an upstream that reports a call as shed although it has made a child call.
 ///
-/// Failure: a booking's deeper booking ran, its next deeper call was refused,
-/// and the upstream passed that refusal up as its own. Told `not_run`, with a
-/// fresh ticket, the caller would make the deeper booking twice. One that made
-/// a deeper call has begun, and only that shows here, so `unknown` is enough.
-fn believed(end: UpstreamOutcome, running: &RunningCall) -> UpstreamOutcome {
+/// An upstream may pass the refusal of a child call on as its own after another child call, such
+/// as a booking, ran. With `not_run` and a fresh ticket the caller would book twice. A call that
+/// made a child call has started, which is all that this node can see, so the outcome is
+/// `unknown`.
+fn corrected_outcome(end: UpstreamOutcome, running: &RunningCall) -> UpstreamOutcome {
     match end {
-        UpstreamOutcome::NotRun(Reason::UpstreamShed) if running.went_deeper() => {
+        UpstreamOutcome::NotRun(Reason::UpstreamShed) if running.has_child_calls() => {
             UpstreamOutcome::Unknown(Reason::UpstreamFailed)
         }
         end => end,
     }
 }
 
-fn with_load(node: &Node, kind: WorkKind, answer: Answer) -> Answer {
+fn with_load_hint(node: &Node, kind: WorkKind, answer: Answer) -> Answer {
     let hint = node.admission_queue.hint(node.chain_shed_level(kind));
     Answer {
         hint: Some(hint),
@@ -206,15 +206,17 @@
     }
 }
 
-/// Load: any. Harm: a request that kills each upstream which runs it, sent
-/// again, kills them one after the other. Every call that ran when the upstream
-/// died is marked; the quarantine narrows the marks down. Others hear of it at
-/// once: the caller's next send is quicker than the next period of gossip.
-fn note_crash(node: &Node) {
-    let mut ended = Vec::new();
+/// Records a crash of the upstream for the crash quarantine.
+///
+/// A request that crashes every upstream it runs on would, when resent, crash one after the
+/// other, whatever the load. Every call that ran during the crash becomes a suspect, and the
+/// quarantine narrows them down. Other nodes are told at once, because the caller's next send is
+/// faster than the next gossip period.
+fn record_crash(node: &Node) {
+    let mut running_calls = Vec::new();
     node.admission_queue
-        .with_admission(|admission| admission.crashed(&mut ended, Instant::now()));
-    log_event!(Event::UpstreamCrashed, running_count = ended.len());
+        .with_admission(|admission| admission.crashed(&mut running_calls, Instant::now()));
+    log_event!(Event::UpstreamCrashed, running_count = running_calls.len());
     node.signals.own_record_changed.notify_one();
 }
 
@@ -223,14 +225,14 @@
     matches!(connected, Ok(Ok(_)))
 }
 
-fn ended(end: &UpstreamOutcome, running: &RunningCall) -> RunResult {
+fn run_result(end: &UpstreamOutcome, running: &RunningCall) -> RunResult {
     match end {
         UpstreamOutcome::Answered { status, .. }
-            if *status >= SERVER_FAILURES_FROM && running.lacked_room() =>
+            if *status >= MIN_SERVER_ERROR_STATUS && running.child_lacked_capacity() =>
         {
             RunResult::ChildLackedCapacity
         }
-        UpstreamOutcome::Answered { status, .. } if *status >= SERVER_FAILURES_FROM => {
+        UpstreamOutcome::Answered { status, .. } if *status >= MIN_SERVER_ERROR_STATUS => {
             RunResult::AnsweredWithFailure
         }
         UpstreamOutcome::Answered { .. } => RunResult::Answered,
--- a/crates/hemlocktack-node/src/calls/send_record.rs
+++ b/crates/hemlocktack-node/src/calls/send_record.rs
@@ -1,4 +1,4 @@
-//! Where the sends of one call stand, for whoever has to end it early.
+//! State of the sends of one call, used to answer it before they end.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -6,7 +6,7 @@
 use hemlocktack_fleet::NodeIncarnation;
 use hemlocktack_protocol::{Answer, Outcome, Reason};
 
-use super::ends::{not_run_answer, unknown_answer};
+use super::outcomes::{not_run_answer, unknown_answer};
 use super::service_directory::PeerEntry;
 
 /// The sends of one call so far.
@@ -19,10 +19,10 @@
 struct SendState {
     /// A send that has ended may have reached an upstream.
     may_have_run: bool,
-    waiting: Option<PendingSend>,
+    pending: Option<PendingSend>,
 }
 
-/// A send that has no end yet.
+/// A send that has not ended yet.
 #[derive(Clone)]
 pub(crate) struct PendingSend {
     pub(crate) receiver: NodeIncarnation,
@@ -31,7 +31,7 @@
 
 impl SendRecord {
     pub(super) fn begin(&self, peer: &PeerEntry) {
-        self.state().waiting = Some(PendingSend {
+        self.state().pending = Some(PendingSend {
             receiver: peer.identity.clone(),
             since: Instant::now(),
         });
@@ -39,19 +39,19 @@
 
     pub(super) fn end(&self, answer: &Answer) {
         let mut state = self.state();
-        state.waiting = None;
+        state.pending = None;
         state.may_have_run |= answer.outcome() != Outcome::NotRun;
     }
 
-    /// The send that the call waits for.
+    /// Returns the send that the call waits for.
     pub(crate) fn pending(&self) -> Option<PendingSend> {
-        self.state().waiting.clone()
+        self.state().pending.clone()
     }
 
-    /// What is true of a call that nobody stays with any longer.
+    /// Returns the answer to a call that is given up before its sends have ended.
     pub(crate) fn early_answer(&self, reason: Reason) -> Answer {
         let state = self.state();
-        match state.may_have_run || state.waiting.is_some() {
+        match state.may_have_run || state.pending.is_some() {
             true => unknown_answer(reason),
             false => not_run_answer(reason, None),
         }
--- a/crates/hemlocktack-node/src/calls/service_directory.rs
+++ b/crates/hemlocktack-node/src/calls/service_directory.rs
@@ -1,4 +1,4 @@
-//! What this node knows of each service's nodes, ready for the request path.
+//! Directory of each service's nodes, for use on the request path.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -14,11 +14,11 @@
     ClassRank, DataCentre, LoadHint, Member, NodeState, RootRequestId, ServiceName, UpstreamState,
 };
 
-/// Routes whose callers' patience is remembered: more than any deployment of
-/// today has. Beyond it all are learnt anew, which takes a few requests each.
-const PATIENCES_LIMIT: usize = 4_096;
+/// Routes whose caller timeouts are estimated, which is more than any current deployment has.
+/// Beyond this, all estimates are dropped and learnt anew, which takes a few requests per route.
+const MAX_ROUTE_ESTIMATES: usize = 4_096;
 
-/// One node of a service and what its replies said.
+/// One node of a service, with the load that its replies reported.
 pub(crate) struct PeerEntry {
     pub(crate) member: Member,
     pub(crate) identity: NodeIncarnation,
@@ -31,22 +31,22 @@
     }
 }
 
-/// One service as seen from this node.
+/// One service's nodes and shed level, as seen from this node.
 pub(crate) struct ServiceView {
     pub(crate) peers: Vec<PeerEntry>,
     pub(crate) edge: Arc<EdgeRetryBudget>,
     shedder: Arc<Mutex<EntryShedder>>,
 }
 
-/// All services, replaced as a whole when membership changes.
+/// All services; the map is replaced as a whole when membership changes.
 pub(crate) struct ServiceDirectory {
     own_data_centre: DataCentre,
     services: ArcSwap<HashMap<ServiceName, Arc<ServiceView>>>,
     edges: Mutex<EdgeRetryBudgets>,
-    /// Which service a kind of work belongs to, for kinds seen on this node.
+    /// Service of each kind of work that was seen on this node.
     service_of_kind: Mutex<HashMap<WorkKind, ServiceName>>,
-    /// Patience of callers by route.
-    patiences: Mutex<HashMap<u64, CallerTimeoutEstimator>>,
+    /// Estimates of caller timeouts, by route.
+    timeout_estimators: Mutex<HashMap<u64, CallerTimeoutEstimator>>,
 }
 
 impl ServiceDirectory {
@@ -59,7 +59,7 @@
                 NodePosition::ONLY_NODE,
             )),
             service_of_kind: Mutex::default(),
-            patiences: Mutex::default(),
+            timeout_estimators: Mutex::default(),
         }
     }
 
@@ -67,8 +67,8 @@
         self.services.load().get(name).cloned()
     }
 
-    /// Takes in a new view of the fleet; what replies said of a node is kept
-    /// as long as it is the same start of it.
+    /// Applies a new list of members. The load that a node's replies reported is kept as long as
+    /// its incarnation is the same.
     pub(crate) fn update(&self, members: &[Member], place: NodePosition) {
         self.edges().set_position(place);
         let before = self.services.load_full();
@@ -83,7 +83,7 @@
         for (service, members) in by_service {
             let known = before.get(&service);
             let edge = self.edges().edge(&service, Instant::now());
-            let view = self.view_of(&members, known.map(Arc::as_ref), edge);
+            let view = self.build_view(&members, known.map(Arc::as_ref), edge);
             services.insert(service, Arc::new(view));
         }
         self.edges()
@@ -91,21 +91,21 @@
         self.services.store(Arc::new(services));
     }
 
-    fn view_of(
+    fn build_view(
         &self,
         members: &[&Member],
         known: Option<&ServiceView>,
         edge: Arc<EdgeRetryBudget>,
     ) -> ServiceView {
-        let some_are_sure = members
+        let has_ready_member = members
             .iter()
             .any(|member| member.state() == NodeState::Ready);
         let mut peers = Vec::new();
         for member in members {
             let identity = NodeIncarnation::new(member.node_id.as_str(), member.incarnation);
             let kept = known.and_then(|view| view.load_of(&identity));
-            let load = kept.unwrap_or_else(|| self.fresh_load(member));
-            load.set_state(state_for_placement(member, some_are_sure));
+            let load = kept.unwrap_or_else(|| self.new_load(member));
+            load.set_state(state_for_placement(member, has_ready_member));
             load.set_suspected(matches!(
                 member.state(),
                 NodeState::Suspect | NodeState::Dead
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Takes in the retries that operators allow, for every service.
+    /// Sets the retry limits that operators configured, for every service.
     pub(crate) fn set_retries(&self, allowed: FleetRetryLimits) {
         self.edges().set_limits(allowed);
     }
@@ -140,28 +140,30 @@
         self.edges.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn fresh_load(&self, member: &Member) -> Arc<PeerLoad> {
+    fn new_load(&self, member: &Member) -> Arc<PeerLoad> {
         let is_near = member.data_centre == *self.own_data_centre;
         Arc::new(PeerLoad::new(is_near, member.upstream(), Instant::now()))
     }
 
-    /// How long the caller of a request on this route has waited before it came,
-    /// by how long it says that it still waits.
+    /// Estimates how long the caller of a request on this route has already waited, from the
+    /// time that it says it has left.
     pub(crate) fn estimate_time_waited(&self, route_id: u64, time_left: Duration) -> Duration {
-        let mut patiences = self
-            .patiences
+        let mut timeout_estimators = self
+            .timeout_estimators
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        if patiences.len() >= PATIENCES_LIMIT && !patiences.contains_key(&route_id) {
-            patiences.clear();
+        if timeout_estimators.len() >= MAX_ROUTE_ESTIMATES
+            && !timeout_estimators.contains_key(&route_id)
+        {
+            timeout_estimators.clear();
         }
-        patiences
+        timeout_estimators
             .entry(route_id)
             .or_default()
             .estimate_waited(time_left)
     }
 
-    /// Remembers which service a kind of work belongs to.
+    /// Records which service a kind of work belongs to.
     pub(crate) fn register_work_kind(&self, kind: WorkKind, service: &str) {
         let mut kinds = self
             .service_of_kind
@@ -170,7 +172,7 @@
         kinds.entry(kind).or_insert_with(|| service.into());
     }
 
-    /// Shed level that calls of a kind meet below this node.
+    /// Returns the shed level of a kind of work at its service.
     pub(crate) fn shed_level_of_kind(&self, kind: WorkKind) -> ShedLevel {
         let service = self
             .service_of_kind
@@ -179,7 +181,7 @@
             .get(&kind)
             .cloned();
         let view = service.and_then(|service| self.service(&service));
-        view.map_or(ShedLevel::OPEN, |view| view.level(kind))
+        view.map_or(ShedLevel::OPEN, |view| view.shed_level(kind))
     }
 }
 
@@ -190,26 +192,26 @@
         kind: WorkKind,
         rank: ClassRank,
         root: RootRequestId,
-        invested: bool,
+        has_prior_work: bool,
     ) -> bool {
         let mut shedder = self.shedder.lock().unwrap_or_else(PoisonError::into_inner);
-        shedder.admits(kind, rank, root, invested, Instant::now())
+        shedder.admits(kind, rank, root, has_prior_work, Instant::now())
     }
 
-    pub(crate) fn level(&self, kind: WorkKind) -> ShedLevel {
+    pub(crate) fn shed_level(&self, kind: WorkKind) -> ShedLevel {
         self.shedder
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .level(kind, Instant::now())
     }
 
-    pub(crate) fn learn(&self, index: usize, kind: WorkKind, hint: &LoadHint) {
+    pub(crate) fn record_hint(&self, index: usize, kind: WorkKind, hint: &LoadHint) {
         let mut shedder = self.shedder.lock().unwrap_or_else(PoisonError::into_inner);
         shedder.learn(index, kind, hint, Instant::now());
     }
 
-    /// Whether these are the same starts in the same order: only then do the
-    /// shedder's numbers still mean the same nodes.
+    /// Whether these are the same incarnations in the same order. Only then do the indices that
+    /// the shedder uses still refer to the same nodes.
     fn has_peers(&self, peers: &[PeerEntry]) -> bool {
         let identities = |peers: &[PeerEntry]| {
             peers
@@ -230,13 +232,12 @@
     !matches!(member.state(), NodeState::Left | NodeState::Dead)
 }
 
-/// Placement asks one question: does it take calls? One that may be down is
-/// passed over while others are surely up: a frozen node holds each call placed
-/// on it until the caller's patience ends.
-fn state_for_placement(member: &Member, some_are_sure: bool) -> UpstreamState {
+/// Returns the upstream state to use for placement. Suspect nodes are skipped while other nodes
+/// are ready: a hung node would hold each call placed on it until the caller's timeout.
+fn state_for_placement(member: &Member, has_ready_member: bool) -> UpstreamState {
     match member.state() {
         NodeState::Ready => member.upstream(),
-        NodeState::Suspect if !some_are_sure => member.upstream(),
+        NodeState::Suspect if !has_ready_member => member.upstream(),
         _ => UpstreamState::Draining,
     }
 }
--- a/crates/hemlocktack-node/src/calls/tests.rs
+++ b/crates/hemlocktack-node/src/calls/tests.rs
@@ -1,4 +1,4 @@
-//! Running calls, found by the names of their requests.
+//! Looking up running calls by request id.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -11,8 +11,8 @@
     RunningCall::new(&Call::default(), ClassRank::MAX, None, Instant::now())
 }
 
-/// Guards against deeper calls that lose the request they are made for: it was sent
-/// here twice, the later send has ended, and the earlier one still runs.
+/// Guards against child calls that lose their parent: a request was sent here twice, the later
+/// send has ended, and the earlier one still runs.
 #[test]
 fn a_run_is_found_by_its_request_after_a_second_send_has_ended() {
     let table = ContextTable::default();
--- a/crates/hemlocktack-node/src/calls/ticketed.rs
+++ b/crates/hemlocktack-node/src/calls/ticketed.rs
@@ -1,4 +1,4 @@
-//! The entry of a call that must run at most once.
+//! Entry side of calls that must run at most once.
 
 use std::sync::{Arc, PoisonError};
 use std::time::{Duration, Instant};
@@ -7,19 +7,19 @@
 use hemlocktack_fleet::tickets::{ChildHome, ChildRefusal, Ticket, TicketError, find_home};
 use hemlocktack_protocol::{Answer, CallPurpose, NodeState, Outcome, Reason};
 
-use super::deliver::{Delivery, send_with_allowance};
-use super::ends::{NOTHING_SHED, wait_before_return};
-use super::place::{admitted_view, choose};
+use super::deliver::{SendResult, send_with_allowance};
+use super::outcomes::{NO_CLASSES_SHED, retry_delay};
+use super::place::{admit_at_entry, choose_peer};
 use super::service_directory::{PeerEntry, ServiceView};
 use super::{ClassifiedCall, not_run_answer, unknown_answer};
 use crate::node::Node;
 
-/// Pause before the home is asked again after a lost link; the ticket makes
-/// any number of sends one request.
+/// Pause before a call is resent to its home after a lost link. The ticket makes resends
+/// idempotent.
 const RESEND_PAUSE: Duration = Duration::from_millis(50);
-/// News of a home or its successor takes a second or two; one that nobody knows
-/// by then is not worth the caller's whole patience.
-const HOME_WAIT: Duration = Duration::from_secs(4);
+/// Longest wait for an unknown home. Gossip about a home or its successor takes a second or two;
+/// a home that is still unknown after this time is not worth the caller's whole timeout.
+const HOME_DISCOVERY_LIMIT: Duration = Duration::from_secs(4);
 
 /// Sends the call to its ticket's home, or answers with a fresh ticket.
 pub(crate) async fn run_ticketed(node: &Arc<Node>, classified: &mut ClassifiedCall) -> Answer {
@@ -30,7 +30,7 @@
     classified.call.ticket = ticket.encode();
     let answer = send_home(node, classified, &ticket).await;
     if answer.outcome() == Outcome::NotRun && classified.parent.is_none() {
-        // The old ticket is fenced for good; the caller needs another one.
+        // The old ticket is fenced permanently; the caller needs a new one.
         return Answer {
             fresh_ticket: fresh_ticket(node, classified).unwrap_or_default(),
             ..answer
@@ -58,16 +58,17 @@
         });
     }
     let Some(key) = key else {
-        return Err(Box::new(ask_for_ticket(node, classified)));
+        return Err(Box::new(issue_ticket(node, classified)));
     };
     let decoded = Ticket::decode(&node.keys, &call.service, key);
-    decoded.map_err(|error| Box::new(not_a_ticket(node, classified, error)))
+    decoded.map_err(|error| Box::new(invalid_ticket_answer(node, classified, error)))
 }
 
-/// A key of the caller's own making never ran, and the caller gets a ticket to
-/// use instead. One with the form of a ticket that no valid key has signed was
-/// forged, or has outlived the fleet key that signed it: then it may have run.
-fn not_a_ticket(node: &Node, classified: &ClassifiedCall, error: TicketError) -> Answer {
+/// Returns the answer to a call whose idempotency key is not a valid ticket. A key that the
+/// caller made up never ran, and the caller gets a ticket to use instead. A well-formed ticket
+/// without a valid signature is forged or older than the current fleet keys. In the latter case
+/// it may have run.
+fn invalid_ticket_answer(node: &Node, classified: &ClassifiedCall, error: TicketError) -> Answer {
     match error {
         TicketError::Foreign => unknown_answer(error.reason()),
         TicketError::Malformed | TicketError::InvalidName => Answer {
@@ -77,12 +78,12 @@
     }
 }
 
-/// Load: more bookings than the service can take. Harm: a ticket that leads to
-/// a refusal costs the caller two round trips. Nothing of this request has
-/// run, so it may be shed here; one that carries a ticket may not, since an
-/// earlier send of it may have run.
-fn ask_for_ticket(node: &Node, classified: &ClassifiedCall) -> Answer {
-    if let Err(refusal) = admitted_view(node, classified) {
+/// Answers a call without a ticket by issuing one, or sheds it if the service is overloaded: a
+/// ticket that then leads to a refusal would cost the caller two round trips. A call without a
+/// ticket has not run, so it may be shed here. A call with a ticket may not, because an earlier
+/// send of it may have run.
+fn issue_ticket(node: &Node, classified: &ClassifiedCall) -> Answer {
+    if let Err(refusal) = admit_at_entry(node, classified) {
         return not_run_answer(refusal.reason, refusal.retry_after);
     }
     match fresh_ticket(node, classified) {
@@ -90,7 +91,7 @@
             fresh_ticket,
             ..not_run_answer(Reason::TicketRequired, None)
         },
-        None => not_run_answer(Reason::NoUpstream, Some(wait_before_return(NOTHING_SHED))),
+        None => not_run_answer(Reason::NoUpstream, Some(retry_delay(NO_CLASSES_SHED))),
     }
 }
 
@@ -103,7 +104,7 @@
 
 fn choose_home(node: &Node, classified: &ClassifiedCall) -> Option<ChildHome> {
     let view = node.services.service(&classified.call.service)?;
-    let peer = &view.peers[choose(&view, None)?];
+    let peer = &view.peers[choose_peer(&view, None)?];
     let is_own = peer.identity == node.identity;
     let epoch = if is_own {
         node.home.table().current_epoch()
@@ -116,21 +117,23 @@
     })
 }
 
-/// Asks the home until it has said what became of the request.
+/// Sends the call to its home until the home has reported the outcome.
 ///
-/// A lost link says nothing of a request that may have been sent before, so
-/// `not_run` is never said here: only the home can.
+/// Never returns `not_run` because of a lost link: the request may have been sent before, and
+/// only the home knows its outcome.
 async fn send_home(node: &Arc<Node>, classified: &ClassifiedCall, ticket: &Ticket) -> Answer {
     let mut call = classified.call.clone();
     call.purpose = CallPurpose::Home.into();
-    let home_limit = classified.deadline.min(Instant::now() + HOME_WAIT);
+    let home_limit = classified
+        .deadline
+        .min(Instant::now() + HOME_DISCOVERY_LIMIT);
     while Instant::now() < classified.deadline {
         let home = find_home(ticket, |home| node.successor_of(home));
         let view = node.services.service(&call.service);
         let peer = view.as_deref().and_then(|view| peer_of(view, &home));
-        let Delivery {
+        let SendResult {
             answer,
-            is_receivers_word,
+            is_from_receiver,
         } = match peer {
             Some(peer) => {
                 let call = call.clone();
@@ -141,14 +144,14 @@
                 } = classified;
                 send_with_allowance(node, peer, call, *deadline, allowance).await
             }
-            None => Delivery {
+            None => SendResult {
                 answer: unknown_answer(Reason::HomeGone),
-                is_receivers_word: false,
+                is_from_receiver: false,
             },
         };
-        let may_ask_again = match may_turn_up(node, &home, &answer) {
+        let may_ask_again = match may_become_reachable(node, &home, &answer) {
             true => Instant::now() < home_limit,
-            false => !is_receivers_word && is_lost(answer.reason()),
+            false => !is_from_receiver && was_lost_in_transit(answer.reason()),
         };
         if !may_ask_again {
             return answer;
@@ -158,20 +161,19 @@
     unknown_answer(Reason::Timeout)
 }
 
-/// Whether the home may still say what became of the request: this send was
-/// lost on the way, there or back. Once the home is known to be gone, the loop
-/// ends with `HomeGone`.
-fn is_lost(reason: Reason) -> bool {
+/// Whether the send or its answer was lost in transit, so that the home may still report the
+/// outcome. Once the home is known to be gone, the resend loop ends with `HomeGone`.
+fn was_lost_in_transit(reason: Reason) -> bool {
     matches!(reason, Reason::LinkLost | Reason::Fenced)
 }
 
-/// Whether the home, or its successor, may turn up a moment later.
+/// Whether the home, or its successor, may become reachable shortly.
 ///
-/// A home in a planned stop starts nothing once its tickets are on their way,
-/// and its successor has them soon. A node that has just started may not know
-/// a home that lives: told `unknown` at once, the caller would take a booking
-/// for lost that is running. Sending the same ticket again is always safe.
-fn may_turn_up(node: &Node, home: &NodeIncarnation, answer: &Answer) -> bool {
+/// A home in a planned stop starts no requests while it hands over its tickets, and its successor
+/// has them soon. A node that has just started may not know a live home yet; with an immediate
+/// `unknown`, the caller would give up a booking that is running. Resending the same ticket is
+/// always safe.
+fn may_become_reachable(node: &Node, home: &NodeIncarnation, answer: &Answer) -> bool {
     if answer.outcome() == Outcome::Unknown && answer.reason() == Reason::Draining {
         return true;
     }
