--- a/crates/hemlocktack-node/src/links/codec.rs
+++ b/crates/hemlocktack-node/src/links/codec.rs
@@ -1,4 +1,4 @@
-//! Frames on the wire: a length, then one protobuf message.
+//! Frame format on the wire: a length, then one protobuf message.
 
 use std::io::ErrorKind;
 
@@ -9,21 +9,21 @@
 use prost::Message;
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
-use super::heard::Heard;
+use super::last_received::LastReceived;
 
 /// Result of reading or writing a frame.
 pub(crate) type Result<T> = std::result::Result<T, Error>;
 
-/// Largest frame: the largest answer that operators may allow, with room for
-/// its headers. A peer that announces more is cut off.
+/// Largest frame: the largest answer that operators may allow, plus its headers. The connection to
+/// a peer that announces a longer one is closed.
 pub(crate) const MAX_FRAME_BYTES: usize = 20 << 20;
 
-/// Before each frame stands its length, most significant byte first.
+/// Size of the length prefix of a frame, which is in big-endian byte order.
 const LENGTH_BYTES: usize = 4;
-/// Room that is made for the rest of a frame whose beginning has come.
+/// Buffer space reserved at once for the rest of a partly received frame.
 const READ_CHUNK_BYTES: usize = 8 << 10;
 
-/// What can go wrong with a frame.
+/// Errors of reading or writing a frame.
 #[derive(Debug, Display, Error, From)]
 pub(crate) enum Error {
     #[display("link failed or a frame is over {MAX_FRAME_BYTES} bytes: {_0}")]
@@ -32,7 +32,7 @@
     Malformed(prost::DecodeError),
 }
 
-/// An ordinary loss of the connection is no fault of a frame.
+/// Logs a malformed frame. An ordinary loss of the connection is not logged.
 pub(super) fn log_malformed(error: &Error) {
     let is_fault = match error {
         Error::Io(error) => error.kind() == std::io::ErrorKind::InvalidData,
@@ -43,10 +43,10 @@
     }
 }
 
-/// Length-delimited protobuf frames.
+/// Codec for length-delimited protobuf frames.
 pub(crate) struct FrameCodec {
     lengths: LengthDelimitedCodec,
-    heard: Heard,
+    last_received: LastReceived,
 }
 
 impl FrameCodec {
@@ -54,13 +54,16 @@
         let lengths = LengthDelimitedCodec::builder()
             .max_frame_length(MAX_FRAME_BYTES)
             .new_codec();
-        let heard = Heard::new();
-        Self { lengths, heard }
+        let last_received = LastReceived::new();
+        Self {
+            lengths,
+            last_received,
+        }
     }
 
-    /// When anything was read last.
-    pub(super) fn heard(&self) -> &Heard {
-        &self.heard
+    /// Returns the time at which bytes were last received.
+    pub(super) fn last_received(&self) -> &LastReceived {
+        &self.last_received
     }
 }
 
@@ -69,8 +72,8 @@
     type Error = Error;
 
     fn decode(&mut self, source: &mut BytesMut) -> Result<Option<Frame>> {
-        // Called when bytes have come, and once more for each frame in them.
-        self.heard.note();
+        // Called when bytes have arrived, and once more for each frame in them.
+        self.last_received.update();
         let Some(length_bytes) = frame_length(source)? else {
             return Ok(None);
         };
@@ -85,10 +88,10 @@
     }
 }
 
-/// Length of the next frame, once its prefix has come.
+/// Returns the length of the next frame once its prefix has arrived.
 ///
-/// `LengthDelimitedCodec` would make room for the whole frame at once, also for a peer
-/// that has not proved itself.
+/// `LengthDelimitedCodec` would allocate the whole frame at once, even for a peer that has not
+/// authenticated yet.
 fn frame_length(source: &BytesMut) -> Result<Option<usize>> {
     let Some(head) = source.first_chunk::<LENGTH_BYTES>() else {
         return Ok(None);
--- a/crates/hemlocktack-node/src/links/connection.rs
+++ b/crates/hemlocktack-node/src/links/connection.rs
@@ -1,5 +1,5 @@
-//! One TCP connection's sending end: a bounded buffer, written by whoever
-//! finds the socket free, and a close signal.
+//! Sending side of one TCP connection: a bounded buffer that senders write to the socket
+//! themselves when it accepts bytes, and a close signal.
 
 use std::io::ErrorKind;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -14,13 +14,13 @@
 use tokio_util::codec::Encoder;
 
 use super::FrameCodec;
-use super::heard::Heard;
+use super::last_received::LastReceived;
 
-/// Bytes that may wait for the socket before senders have to. A peer that
-/// reads slowly makes senders wait, and they give up at their own deadlines.
+/// Unsent bytes above which senders wait. A peer that reads slowly makes senders wait until their
+/// own deadlines.
 const OUTBOX_BYTES: usize = 1 << 20;
 
-/// Sending end of a connection.
+/// Sending side of a connection.
 #[derive(Clone)]
 pub(crate) struct Connection {
     pub(crate) peer_incarnation: Incarnation,
@@ -29,27 +29,27 @@
 
 struct Shared {
     outbox: Mutex<Outbox>,
-    /// Something is left for the writer task.
-    left_over: Notify,
-    /// There is room in the outbox again.
+    /// There are unsent bytes for the writer task.
+    has_unsent: Notify,
+    /// The outbox has room again.
     has_room: Notify,
-    /// The socket took bytes.
+    /// The socket accepted bytes.
     progress: Notify,
     closed: watch::Sender<bool>,
-    /// When the far end gave a sign of life.
-    heard: Heard,
-    /// It answers echo requests.
+    /// When the peer last sent bytes or read some of ours.
+    last_received: LastReceived,
+    /// The peer answers echo requests.
     answers_echo: bool,
 }
 
 struct Outbox {
-    /// Gone once the connection is closed: dropping it tells the peer.
+    /// `None` once the connection is closed; dropping the socket notifies the peer.
     socket: Option<Arc<OwnedWriteHalf>>,
     codec: FrameCodec,
     bytes: BytesMut,
-    /// What the socket has taken since the start.
+    /// Bytes written to the socket since the connection was opened.
     written_bytes: u64,
-    /// The writer task waits for the socket; what is added goes behind.
+    /// The writer task waits until the socket is writable; new frames are only appended.
     is_blocked: bool,
 }
 
@@ -57,7 +57,7 @@
     pub(super) fn start(
         peer_incarnation: Incarnation,
         socket: OwnedWriteHalf,
-        heard: Heard,
+        last_received: LastReceived,
         answers_echo: bool,
     ) -> Self {
         let outbox = Outbox {
@@ -69,34 +69,34 @@
         };
         let shared = Arc::new(Shared {
             outbox: Mutex::new(outbox),
-            left_over: Notify::new(),
+            has_unsent: Notify::new(),
             has_room: Notify::new(),
             progress: Notify::new(),
             closed: watch::Sender::new(false),
-            heard,
+            last_received,
             answers_echo,
         });
-        tokio::spawn(write_left_overs(shared.clone()));
+        tokio::spawn(write_unsent(shared.clone()));
         Self {
             peer_incarnation,
             shared,
         }
     }
 
-    /// Whether the frame was taken; if not, no byte of it left.
+    /// Sends a frame; returns `false` if no byte of it was sent.
     ///
-    /// The sender writes to the socket itself if that is free. A task between
-    /// them would cost every frame a wake-up, which on an idle machine takes
-    /// longer than the rest of the hop.
+    /// The sender writes to the socket itself if the socket accepts bytes. Passing every frame
+    /// to a writer task would cost a wake-up, which on an idle machine takes longer than the rest
+    /// of the hop.
     ///
-    /// Waits while the peer reads too slowly. A sender that goes away while it
-    /// waits has sent nothing.
+    /// Waits while the peer reads too slowly. If the future is dropped during that wait, nothing
+    /// was sent.
     pub(crate) async fn send(&self, body: frame::Body) -> bool {
         self.send_built(|| body).await
     }
 
-    /// As [`Connection::send`], with a frame that is built when its place in the
-    /// order of frames is certain.
+    /// Like [`Connection::send`], but builds the frame once its position in the order of frames is
+    /// fixed.
     pub(crate) async fn send_built(&self, build: impl FnOnce() -> frame::Body) -> bool {
         loop {
             let room = self.shared.has_room.notified();
@@ -115,15 +115,15 @@
         }
     }
 
-    /// Sends a frame that helps but may be left out, if that needs no waiting.
+    /// Sends an optional frame if that needs no waiting; drops it otherwise.
     pub(crate) fn send_if_room(&self, body: frame::Body) {
         if !self.is_closed() && self.shared.outbox().bytes.len() < OUTBOX_BYTES {
             self.shared.take(|| body);
         }
     }
 
-    /// Waits until all that was sent so far is with the socket, or until the
-    /// connection is closed; whether the socket has it.
+    /// Waits until everything sent so far is written to the socket, or the connection is closed.
+    /// Returns whether it was written.
     pub(crate) async fn flushed(&self) -> bool {
         let end_bytes = self.shared.outbox().end_bytes();
         loop {
@@ -151,19 +151,19 @@
         self.shared.close();
     }
 
-    /// Ends when the far end, or the way to it, counts as lost for a call that
-    /// was sent at `sent`; see [`LinkMonitor`].
+    /// Returns when the peer, or the path to it, counts as lost for a call that was sent at `sent`;
+    /// see [`LinkMonitor`].
     pub(crate) async fn lost(&self, sent: Instant) {
         if !self.shared.answers_echo {
             return std::future::pending().await;
         }
         let mut watch = LinkMonitor::new(LinkMonitorPolicy::default());
         loop {
-            let heard = self.shared.heard.last().max(sent);
-            let until = match watch.check(heard, Instant::now()) {
+            let last_received = self.shared.last_received.get().max(sent);
+            let until = match watch.check(last_received, Instant::now()) {
                 LinkAction::Lost => {
                     let peer_incarnation = self.peer_incarnation;
-                    let silent_ms = heard.elapsed().as_millis() as u64;
+                    let silent_ms = last_received.elapsed().as_millis() as u64;
                     log_event!(Event::LinkSilent, peer_incarnation, silent_ms);
                     return;
                 }
@@ -177,19 +177,19 @@
         }
     }
 
-    /// Ends when the connection is lost or closed.
+    /// Returns when the connection is lost or closed.
     pub(crate) async fn closed(&self) {
-        self.shared.until_closed().await;
+        self.shared.wait_closed().await;
     }
 }
 
 impl Outbox {
-    /// Whether the frame was taken; one over the limit is not.
-    fn push(&mut self, frame: Frame) -> bool {
+    /// Appends a frame; returns `false` for one over the size limit.
+    fn encode_frame(&mut self, frame: Frame) -> bool {
         self.codec.encode(frame, &mut self.bytes).is_ok()
     }
 
-    /// Position behind the last frame, counted as `written_bytes` is.
+    /// Returns the stream position after the last frame, comparable to `written_bytes`.
     fn end_bytes(&self) -> u64 {
         self.written_bytes + self.bytes.len() as u64
     }
@@ -222,14 +222,14 @@
         self.outbox.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Puts a frame behind what waits and writes what the socket takes.
+    /// Appends a frame to the outbox and writes what the socket accepts.
     fn take(&self, build: impl FnOnce() -> frame::Body) -> bool {
         let mut outbox = self.outbox();
         if outbox.socket.is_none() {
             return false;
         }
         let body = Some(build());
-        if !outbox.push(Frame { body }) {
+        if !outbox.encode_frame(Frame { body }) {
             return false;
         }
         if !outbox.is_blocked {
@@ -238,18 +238,18 @@
         true
     }
 
-    /// Writes until the outbox is empty or the socket takes no more.
+    /// Writes until the outbox is empty or the socket accepts no more bytes.
     fn write(&self, outbox: &mut Outbox) {
         let was_blocked = outbox.is_blocked;
         let before_bytes = outbox.written_bytes;
         let written = outbox.write();
         if was_blocked && outbox.written_bytes > before_bytes {
-            // The far end has made room: it reads what was sent before.
-            self.heard.note();
+            // The peer has made room, so it is reading what was sent before.
+            self.last_received.update();
         }
         self.progress.notify_waiters();
         match written {
-            Ok(()) if outbox.is_blocked => self.left_over.notify_one(),
+            Ok(()) if outbox.is_blocked => self.has_unsent.notify_one(),
             Ok(()) => self.has_room.notify_waiters(),
             Err(_) => self.close_with(outbox),
         }
@@ -264,18 +264,18 @@
         self.closed.send_replace(true);
     }
 
-    async fn until_closed(&self) {
+    async fn wait_closed(&self) {
         let mut closed = self.closed.subscribe();
         let _ = closed.wait_for(|is_closed| *is_closed).await;
     }
 }
 
-/// Writes what senders could not, once the socket takes bytes again.
-async fn write_left_overs(shared: Arc<Shared>) {
+/// Writer task: writes unsent bytes once the socket accepts bytes again.
+async fn write_unsent(shared: Arc<Shared>) {
     loop {
         tokio::select! {
-            () = shared.left_over.notified() => {}
-            () = shared.until_closed() => return,
+            () = shared.has_unsent.notified() => {}
+            () = shared.wait_closed() => return,
         }
         let Some(socket) = shared.outbox().socket.clone() else {
             return;
@@ -286,7 +286,7 @@
                     return shared.close();
                 }
             }
-            () = shared.until_closed() => return,
+            () = shared.wait_closed() => return,
         }
         drop(socket);
         let mut outbox = shared.outbox();
--- a/crates/hemlocktack-node/src/links/dial.rs
+++ b/crates/hemlocktack-node/src/links/dial.rs
@@ -1,4 +1,4 @@
-//! Opening the links that calls go over, and reading what comes back.
+//! Opening outgoing links and reading the answers from them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,25 +15,25 @@
 use super::connection::Connection;
 use super::handshake::{self, Reader};
 use super::outgoing::{Links, Peer};
-use super::pending::{CallEvent, Pending, settle};
+use super::pending::{CallEvent, Pending, deliver};
 use super::queries::PendingQueries;
 use crate::sockets;
 
-/// Opening a link within a data centre takes a millisecond and between regions
-/// a few dozen; a peer that has not answered by then is as good as gone.
+/// Longest time for opening a link. It takes one millisecond within a data centre and a few dozen
+/// between regions, so a peer that has not answered by then counts as unreachable.
 const DIAL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The link to one node, over as many connections as it takes.
+/// The link to one node, which outlives individual connections.
 pub(super) struct Link {
     node_id: NodeId,
     address: ArcSwap<SocketAddr>,
     connection: ArcSwapOption<Connection>,
-    dialling: tokio::sync::Mutex<()>,
+    dial_lock: tokio::sync::Mutex<()>,
     pub(super) pending: Pending,
 }
 
 impl Links {
-    /// The open connection, or a new one.
+    /// Returns the open connection, or a new one.
     pub(super) async fn connect(&self, link: &Link, deadline: Instant) -> Option<Connection> {
         if let Some(connection) = link.open_connection() {
             return Some(connection);
@@ -46,7 +46,7 @@
     }
 
     async fn dial(&self, link: &Link) -> Option<Connection> {
-        let _one_dials = link.dialling.lock().await;
+        let _dial_guard = link.dial_lock.lock().await;
         if let Some(connection) = link.open_connection() {
             return Some(connection);
         }
@@ -60,8 +60,8 @@
         let peer_incarnation = open.peer.incarnation;
         let answers_echo = open.answers_echo;
         let (reader, writer) = open.split();
-        let heard = reader.codec().heard().clone();
-        let connection = Connection::start(peer_incarnation, writer, heard, answers_echo);
+        let last_received = reader.codec().last_received().clone();
+        let connection = Connection::start(peer_incarnation, writer, last_received, answers_echo);
         let answers = read_answers(
             reader,
             connection.clone(),
@@ -94,12 +94,12 @@
             node_id: peer.node_id.clone(),
             address: ArcSwap::from_pointee(peer.link_address),
             connection: ArcSwapOption::empty(),
-            dialling: tokio::sync::Mutex::new(()),
+            dial_lock: tokio::sync::Mutex::new(()),
             pending: Pending::default(),
         }
     }
 
-    /// The node is at this address now; the next connection goes there.
+    /// Sets the address that the next connection is opened to.
     pub(super) fn set_address(&self, address: SocketAddr) {
         if **self.address.load() != address {
             self.address.store(Arc::new(address));
@@ -129,16 +129,16 @@
         };
         match body {
             Some(frame::Body::Answer(answer)) => {
-                settle(&pending, answer.call_id, CallEvent::Answer(answer))
+                deliver(&pending, answer.call_id, CallEvent::Answer(answer))
             }
             Some(frame::Body::Resolution(resolution)) => {
-                settle(
+                deliver(
                     &pending,
                     resolution.call_id,
                     CallEvent::Resolution(resolution.progress()),
                 );
             }
-            Some(other) => queries.settle(other),
+            Some(other) => queries.deliver(other),
             None => {}
         }
     }
--- a/crates/hemlocktack-node/src/links/handshake.rs
+++ b/crates/hemlocktack-node/src/links/handshake.rs
@@ -1,8 +1,8 @@
-//! Opening of a link: each end proves that it holds a fleet key.
+//! Handshake of a link: each end proves that it holds a fleet key.
 //!
-//! Failure: a process outside the fleet that reaches the link port could send
-//! calls or answers. Both nonces are fresh and both names are under the MAC, so
-//! a recorded opening cannot be played again or turned round.
+//! Without it, any process that reaches the link port could send calls or answers. Both nonces
+//! are fresh and both node names are covered by the MAC, so a recorded handshake can neither be
+//! replayed nor reflected.
 
 use std::time::Duration;
 
@@ -18,11 +18,11 @@
 
 use super::{FrameCodec, codec};
 
-/// Result of opening a link.
+/// Result of a handshake.
 pub(crate) type Result<T> = std::result::Result<T, Error>;
 
 const NONCE_BYTES: usize = 16;
-/// An opening that takes longer holds a socket for nobody.
+/// Longest handshake; a peer that takes longer only occupies a socket.
 pub(super) const OPENING_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Why a link was not opened.
@@ -32,9 +32,9 @@
     Frame(codec::Error),
     #[display("the peer closed the link before its proof")]
     Closed,
-    #[display("the peer sent something else than the opening asks for")]
+    #[display("the peer sent an unexpected frame during the handshake")]
     Unexpected,
-    #[display("the peer did not prove itself in time")]
+    #[display("the peer did not authenticate in time")]
     Timeout,
     #[display("another node answers at the address: {}", _0.node_id)]
     #[from(ignore)]
@@ -45,10 +45,10 @@
     Refused,
 }
 
-/// A link whose other end has proved itself.
+/// A link whose peer has authenticated.
 pub(crate) struct OpenLink {
     pub(crate) peer: NodeIncarnation,
-    /// The far end answers echo requests.
+    /// The peer answers echo requests.
     pub(crate) answers_echo: bool,
     framed: Framed<TcpStream, FrameCodec>,
 }
@@ -57,12 +57,12 @@
 pub(super) type Reader = Framed<OwnedReadHalf, FrameCodec>;
 
 impl OpenLink {
-    /// Both halves, to be used by tasks of their own.
+    /// Splits the link into its two halves, for use by separate tasks.
     ///
-    /// Failure: the first call often comes in one segment with the proof, and
-    /// a reader that is merely given those bytes looks at them only when more
-    /// come. Symptom: the first call over a link ends `unknown` after its whole
-    /// patience. A reader made from the parts decodes what is there first.
+    /// The first call often arrives in one segment with the proof. A reader that only gets those
+    /// bytes added to its buffer would decode them when more bytes arrive, and the first call over
+    /// a link would end `unknown` after its whole timeout. A reader made with `from_parts` decodes
+    /// buffered bytes first.
     pub(super) fn split(self) -> (Reader, OwnedWriteHalf) {
         let parts = self.framed.into_parts();
         let (read, write) = parts.io.into_split();
@@ -73,11 +73,11 @@
     }
 }
 
-/// The dialling end, which wants this node and no other.
+/// Performs the handshake as the dialling end, which expects the node `wanted`.
 ///
-/// Failure: a node is gone and another one has its address. Symptom: calls to the first
-/// reach the second, which cannot run them. The far end names itself under its MAC
-/// before this end sends its proof, so a wrong node never holds an open link.
+/// If a node is gone and another one has taken its address, calls to the first would reach the
+/// second, which cannot run them. The peer sends its name under its MAC before this end sends its
+/// proof, so a link to the wrong node is never opened.
 pub(crate) async fn dial(
     stream: TcpStream,
     own: &NodeIncarnation,
@@ -94,7 +94,7 @@
     let frame::Body::Challenge(challenge) = receive(&mut framed).await? else {
         return Err(Error::Unexpected);
     };
-    if !is_proved(
+    if !is_valid_mac(
         keys,
         MacPurpose::LinkAcceptor,
         &hello,
@@ -119,7 +119,7 @@
     })
 }
 
-/// The accepting end.
+/// Performs the handshake as the accepting end.
 pub(crate) async fn accept(
     stream: TcpStream,
     own: &NodeIncarnation,
@@ -141,7 +141,7 @@
     let frame::Body::Proof(proof) = receive(&mut framed).await? else {
         return Err(Error::Unexpected);
     };
-    if !is_proved(
+    if !is_valid_mac(
         keys,
         MacPurpose::LinkDialler,
         &hello,
@@ -156,7 +156,7 @@
     };
     Ok(OpenLink {
         peer,
-        // Only the end that sends calls asks.
+        // Only the end that sends calls sends echo requests.
         answers_echo: false,
         framed,
     })
@@ -167,7 +167,7 @@
     Bytes::copy_from_slice(&nonce)
 }
 
-/// The MAC covers everything that both ends know.
+/// Passes the parts that the MAC covers, which is everything that both ends know.
 fn with_transcript<T>(
     hello: &Hello,
     challenge: &Challenge,
@@ -188,7 +188,7 @@
     Bytes::copy_from_slice(&mac)
 }
 
-fn is_proved(
+fn is_valid_mac(
     keys: &FleetKeys,
     purpose: MacPurpose,
     hello: &Hello,
--- a/crates/hemlocktack-node/src/links/incoming.rs
+++ b/crates/hemlocktack-node/src/links/incoming.rs
@@ -1,4 +1,4 @@
-//! Links that other nodes opened: their calls, cancellations and questions.
+//! Links that other nodes opened: their calls, cancellations and queries.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,7 +26,7 @@
 pub(crate) async fn serve_links(node: Arc<Node>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // Out of file descriptors, say: asking again at once would spin.
+            // For example out of file descriptors: retrying at once would be a busy loop.
             tokio::time::sleep(ACCEPT_PAUSE).await;
             continue;
         };
@@ -44,14 +44,14 @@
     let peer = open.peer.clone();
     let answers_echo = open.answers_echo;
     let (mut reader, writer) = open.split();
-    let heard = reader.codec().heard().clone();
-    let connection = Connection::start(peer.incarnation, writer, heard, answers_echo);
+    let last_received = reader.codec().last_received().clone();
+    let connection = Connection::start(peer.incarnation, writer, last_received, answers_echo);
     let sender = node.senders.connected(&peer);
     while let Some(next) = next_frame(&mut reader, &connection).await {
         let Ok(Frame { body }) = next.inspect_err(log_malformed) else {
             break;
         };
-        // A body of a newer schema decodes to nothing and is passed over.
+        // A body of a newer schema decodes to `None` and is ignored.
         let Some(body) = body else { continue };
         handle(&node, &sender, &connection, body).await;
     }
@@ -91,7 +91,7 @@
     body: frame::Body,
 ) {
     match body {
-        frame::Body::Call(call) => take_call(node, sender, connection, call),
+        frame::Body::Call(call) => start_call(node, sender, connection, call),
         frame::Body::EchoRequest(EchoRequest {}) => {
             connection.send_if_room(frame::Body::EchoReply(EchoReply {}));
         }
@@ -105,11 +105,11 @@
                 .send(frame::Body::HandoverAccepted(accepted))
                 .await;
         }
-        other => super::questions::answer(node, connection, other).await,
+        other => super::query_handler::answer_query(node, connection, other).await,
     }
 }
 
-fn take_call(node: &Arc<Node>, sender: &Arc<Sender>, connection: &Connection, call: Call) {
+fn start_call(node: &Arc<Node>, sender: &Arc<Sender>, connection: &Connection, call: Call) {
     let Some(cancelled) = node.senders.begin_call(sender, call.call_id, connection) else {
         return;
     };
@@ -128,13 +128,13 @@
     });
 }
 
-/// Gives an answer to the links where its call is waited for; whether it has left.
+/// Sends an answer over every link on which its call is waited for; returns whether it was sent.
 ///
-/// Failure: one sender has two links here, because it knows this process under two
-/// names or opened a later one. Symptom: the answer goes over the other link, which
-/// knows nothing of the call or is closed, and the sender, whose own link is well,
-/// waits to its deadline. The link that the call came over, or was asked for over,
-/// is the one whose loss the sender notices, and then it asks again.
+/// One sender may have two links here, because it knows this process under two names or opened
+/// another one later. If the answer went over the wrong one, which is closed or does not know the
+/// call, the sender would wait until its deadline although its own link works. The answer
+/// therefore goes to the links that the call or a query for it arrived on: the sender notices if
+/// one of those is lost, and queries again.
 async fn finish_call(node: &Node, sender: &Sender, answer: Answer) -> bool {
     let mut connections = node.senders.finish(sender, &answer);
     let Some(last) = connections.pop() else {
@@ -142,15 +142,15 @@
     };
     let others = connections
         .iter()
-        .map(|connection| send_out(connection, answer.clone()));
+        .map(|connection| send_and_flush(connection, answer.clone()));
     let others = futures::future::join_all(others);
-    let (has_left, others) = futures::join!(send_out(&last, answer), others);
+    let (has_left, others) = futures::join!(send_and_flush(&last, answer), others);
     has_left || others.contains(&true)
 }
 
-/// Waits until the answer is with the socket: a stop would end a large one that waits
-/// for a slow reader.
-async fn send_out(connection: &Connection, answer: Answer) -> bool {
+/// Sends an answer and waits until it is written to the socket. Otherwise a stop of this node would
+/// cut off a large answer that waits for a slow reader.
+async fn send_and_flush(connection: &Connection, answer: Answer) -> bool {
     connection.send(frame::Body::Answer(answer)).await && connection.flushed().await
 }
 
@@ -168,7 +168,7 @@
     );
 }
 
-/// Says what became of a call whose link was lost; see `Links::ask_again`.
+/// Reports the outcome of a call whose link was lost; see `Links::resolve_after_reconnect`.
 async fn resolve_call(node: &Node, sender: &Sender, connection: &Connection, call_id: CallId) {
     let resolution = node.senders.resolve(sender, call_id, connection);
     let progress = resolution.progress().into();
--- a/crates/hemlocktack-node/src/links/heard.rs
+++ b/crates/hemlocktack-node/src/links/last_received.rs
@@ -1,18 +1,18 @@
-//! When anything came over a link last.
+//! Time of the last activity of a link's peer.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// Moment of the last sign of life of a link's far end. Bytes count, not whole
-/// frames: a large answer over a narrow way takes long and is no silence.
+/// Time of the last activity of a link's peer. Bytes count rather than whole frames, because a large
+/// answer over a slow network takes long although the peer is active.
 #[derive(Clone)]
-pub(super) struct Heard {
+pub(super) struct LastReceived {
     opened: Instant,
     last_us: Arc<AtomicU64>,
 }
 
-impl Heard {
+impl LastReceived {
     pub(super) fn new() -> Self {
         Self {
             opened: Instant::now(),
@@ -20,13 +20,13 @@
         }
     }
 
-    pub(super) fn note(&self) {
+    pub(super) fn update(&self) {
         let since_us = self.opened.elapsed().as_micros();
         let since_us = u64::try_from(since_us).unwrap_or(u64::MAX);
         self.last_us.store(since_us, Ordering::Release);
     }
 
-    pub(super) fn last(&self) -> Instant {
+    pub(super) fn get(&self) -> Instant {
         self.opened + Duration::from_micros(self.last_us.load(Ordering::Acquire))
     }
 }
--- a/crates/hemlocktack-node/src/links/mod.rs
+++ b/crates/hemlocktack-node/src/links/mod.rs
@@ -1,19 +1,19 @@
-//! Links between nodes: frames over TCP, both ends proved to hold the fleet key.
+//! Links between nodes: frames over TCP, with mutual authentication by the fleet key.
 //!
-//! Each node dials the nodes that it sends calls to; answers come back on the
-//! same link. A lost link leaves calls pending until the other incarnation has
-//! been asked what became of them.
+//! Each node dials the nodes that it sends calls to; answers come back on the same link. When a
+//! link is lost, its calls stay pending until the same incarnation of the receiver has reported
+//! their outcomes.
 
 mod codec;
 mod connection;
 mod dial;
 mod handshake;
-mod heard;
 mod incoming;
+mod last_received;
 mod outgoing;
 mod pending;
 mod queries;
-mod questions;
+mod query_handler;
 mod senders;
 #[cfg(test)]
 mod tests;
--- a/crates/hemlocktack-node/src/links/outgoing.rs
+++ b/crates/hemlocktack-node/src/links/outgoing.rs
@@ -1,4 +1,4 @@
-//! Calls to other nodes and what became of them.
+//! Calls to other nodes and their outcomes.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,20 +17,20 @@
 
 use super::connection::Connection;
 use super::dial::Link;
-use super::pending::{CallEvent, EVENTS_A_CALL, PendingCall};
+use super::pending::{CallEvent, EVENTS_PER_CALL, PendingCall};
 use crate::telemetry::LogThrottle;
 
-/// A link that broke by itself is back within a few of these waits. A peer that
-/// was killed never is, and its callers must not wait for that: an idempotent
-/// call goes elsewhere then, and a ticket is sent to its home again.
-const ASK_AGAIN_LIMIT: Duration = Duration::from_secs(1);
-/// The same for an idempotent call, which another node may run at once: a link
-/// that broke by itself is back within a few milliseconds in a region.
-const ASK_AGAIN_LIMIT_IDEMPOTENT: Duration = Duration::from_millis(150);
-/// Wait between two attempts to reach a peer that has calls of ours pending.
+/// How long a lost peer is queried for a call. A link that broke for a transient reason is back
+/// within a few redial pauses. A killed peer never is, and callers must not wait for it: an
+/// idempotent call then goes to another node, and a ticket is sent to its home again.
+const RESOLVE_LIMIT: Duration = Duration::from_secs(1);
+/// The same for an idempotent call, which another node may run immediately. A link that broke for a
+/// transient reason is back within a few milliseconds in a region.
+const RESOLVE_LIMIT_IDEMPOTENT: Duration = Duration::from_millis(150);
+/// Pause between attempts to reach a peer with pending calls.
 const REDIAL_PAUSE: Duration = Duration::from_millis(50);
 
-/// Where a node is reached and which start of it is meant.
+/// A node and the address of its link port.
 #[derive(Clone, Debug)]
 pub(crate) struct Peer {
     pub(crate) node_id: NodeId,
@@ -41,24 +41,24 @@
 #[derive(Debug)]
 pub(crate) enum SendOutcome {
     Answer(Answer),
-    /// No byte left, or the receiver has fenced the call: it will never run.
+    /// No byte was sent, or the receiver has fenced the call: it will never run.
     NeverArrived(Reason),
     Unknown(Reason),
 }
 
-/// A call that waits for its end.
-struct Wait<'a> {
+/// A call that waits for its outcome.
+struct PendingOutcome<'a> {
     link: &'a Link,
     call_id: CallId,
     deadline: Instant,
-    ask_again_limit: Duration,
+    resolve_limit: Duration,
 }
 
-/// How long a lost peer is tried before the call's end counts as unknown.
-fn ask_again_limit(purpose: CallPurpose) -> Duration {
+/// Returns how long a lost peer is retried before the call's outcome counts as unknown.
+fn resolve_limit(purpose: CallPurpose) -> Duration {
     match purpose {
-        CallPurpose::Placed => ASK_AGAIN_LIMIT_IDEMPOTENT,
-        _ => ASK_AGAIN_LIMIT,
+        CallPurpose::Placed => RESOLVE_LIMIT_IDEMPOTENT,
+        _ => RESOLVE_LIMIT,
     }
 }
 
@@ -86,26 +86,26 @@
         }
     }
 
-    /// Sends one call and stays with it until its end is known or `deadline`.
+    /// Sends one call and waits for its outcome until `deadline`.
     ///
-    /// The call id is drawn when the frame gets its place on the link: unique in
-    /// this incarnation, never reused, and rising on each link. One that was
-    /// drawn before a wait for room could arrive after so many later ones that
-    /// the receiver takes it for a call of long ago.
+    /// The call id is assigned when the frame gets its position on the link. Ids are unique within
+    /// this incarnation, never reused, and increase on each link. An id assigned before a wait for
+    /// room could arrive after so many later ones that the receiver takes it for a call from long
+    /// ago.
     pub(crate) async fn call(&self, peer: &Peer, mut call: Call, deadline: Instant) -> SendOutcome {
         let link = self.link(peer);
         let Some(connection) = self.connect(&link, deadline).await else {
             return SendOutcome::NeverArrived(Reason::LinkLost);
         };
-        let (events, receiver) = mpsc::channel(EVENTS_A_CALL);
-        let ask_again_limit = ask_again_limit(call.purpose());
+        let (events, receiver) = mpsc::channel(EVENTS_PER_CALL);
+        let resolve_limit = resolve_limit(call.purpose());
         let mut pending = None;
         let sending = connection.send_built(|| {
             call.call_id = self.next_call_id.fetch_add(1, Ordering::Relaxed);
             pending = Some(PendingCall::register(&link.pending, call.call_id, events));
             frame::Body::Call(call)
         });
-        // A peer that is frozen reads nothing, so the wait for room has to end too.
+        // A hung peer reads nothing, so the wait for room needs a timeout too.
         match tokio::time::timeout_at(deadline.into(), sending).await {
             Ok(true) => {}
             Ok(false) => return SendOutcome::NeverArrived(Reason::LinkLost),
@@ -114,46 +114,46 @@
         let Some(pending) = pending else {
             return SendOutcome::NeverArrived(Reason::LinkLost);
         };
-        let wait = Wait {
+        let wait = PendingOutcome {
             link: &link,
             call_id: pending.call_id,
             deadline,
-            ask_again_limit,
+            resolve_limit,
         };
-        self.stay_with(wait, connection, receiver).await
+        self.wait_for_outcome(wait, connection, receiver).await
     }
 
-    async fn stay_with(
+    async fn wait_for_outcome(
         &self,
-        wait: Wait<'_>,
+        wait: PendingOutcome<'_>,
         mut connection: Connection,
         mut events: mpsc::Receiver<CallEvent>,
     ) -> SendOutcome {
         let incarnation = connection.peer_incarnation;
-        let mut leaving = CancelOnLeaving::new(wait.call_id, &connection);
+        let mut cancel_guard = CancelOnDrop::new(wait.call_id, &connection);
         let mut sent = Instant::now();
         loop {
             tokio::select! {
                 biased;
                 event = events.recv() => match event {
                     Some(CallEvent::Answer(answer)) => {
-                        leaving.stay();
+                        cancel_guard.disarm();
                         return SendOutcome::Answer(answer);
                     }
                     Some(CallEvent::Resolution(progress)) => {
-                        if let Some(sent) = settled(progress) {
-                            leaving.stay();
+                        if let Some(sent) = resolved_outcome(progress) {
+                            cancel_guard.disarm();
                             return sent;
                         }
                     }
                     None => return SendOutcome::Unknown(Reason::LinkLost),
                 },
-                // What else waits on it learns of the loss by its close.
+                // Closing it notifies the other calls that wait on this connection.
                 () = connection.lost(sent) => connection.close(),
                 () = connection.closed() => {
-                    match self.ask_again(&wait, incarnation).await {
+                    match self.resolve_after_reconnect(&wait, incarnation).await {
                         Ok(next) => {
-                            leaving.follow(&next);
+                            cancel_guard.set_connection(&next);
                             connection = next;
                             sent = Instant::now();
                         }
@@ -167,19 +167,18 @@
         }
     }
 
-    /// Asks the same incarnation, over a new connection, what became of a call.
+    /// Asks the same incarnation, over a new connection, for the outcome of a call.
     ///
-    /// Failure: a link that breaks leaves the caller not knowing whether the
-    /// call arrived. Symptom: a booking is either lost or sent twice. The same
-    /// incarnation knows exactly, and fences the call before it says that it
-    /// never arrived; another incarnation cannot know.
-    async fn ask_again(
+    /// After a link breaks, the caller does not know whether the call arrived, and a booking could
+    /// be lost or made twice. The same incarnation knows the outcome, and fences the call before it
+    /// reports that the call never arrived. Another incarnation cannot know.
+    async fn resolve_after_reconnect(
         &self,
-        wait: &Wait<'_>,
+        wait: &PendingOutcome<'_>,
         incarnation: Incarnation,
     ) -> Result<Connection, Reason> {
         let call_id = wait.call_id;
-        let limit = wait.deadline.min(Instant::now() + wait.ask_again_limit);
+        let limit = wait.deadline.min(Instant::now() + wait.resolve_limit);
         while Instant::now() < limit {
             let Some(connection) = self.connect(wait.link, limit).await else {
                 tokio::time::sleep(REDIAL_PAUSE).await;
@@ -217,18 +216,17 @@
     }
 }
 
-/// Tells the receiver that nobody waits for a call any more, unless its end is
-/// known.
+/// Cancels a call at its receiver when dropped, unless its outcome is known.
 ///
-/// Failure: a caller hangs up, its request goes on in a queue and an upstream
-/// elsewhere, and the work is for nobody. The wait for a call ends with its
-/// caller, so what is dropped with it reaches the receiver one way later.
-struct CancelOnLeaving {
+/// If a caller disconnects, its request would otherwise go on in a queue and in an upstream of
+/// another node although nobody needs the answer. The wait for a call is dropped with its caller,
+/// so the cancellation reaches the receiver after one network delay.
+struct CancelOnDrop {
     call_id: CallId,
     connection: Option<Connection>,
 }
 
-impl CancelOnLeaving {
+impl CancelOnDrop {
     fn new(call_id: CallId, connection: &Connection) -> Self {
         Self {
             call_id,
@@ -236,16 +234,16 @@
         }
     }
 
-    fn follow(&mut self, connection: &Connection) {
+    fn set_connection(&mut self, connection: &Connection) {
         self.connection = Some(connection.clone());
     }
 
-    fn stay(&mut self) {
+    fn disarm(&mut self) {
         self.connection = None;
     }
 }
 
-impl Drop for CancelOnLeaving {
+impl Drop for CancelOnDrop {
     fn drop(&mut self) {
         if let Some(connection) = self.connection.take() {
             let call_id = self.call_id;
@@ -254,7 +252,7 @@
     }
 }
 
-fn settled(progress: CallProgress) -> Option<SendOutcome> {
+fn resolved_outcome(progress: CallProgress) -> Option<SendOutcome> {
     match progress {
         CallProgress::NeverArrived => Some(SendOutcome::NeverArrived(Reason::Fenced)),
         CallProgress::Forgotten | CallProgress::Unspecified => {
--- a/crates/hemlocktack-node/src/links/pending.rs
+++ b/crates/hemlocktack-node/src/links/pending.rs
@@ -1,4 +1,4 @@
-//! Calls that wait for their answers, by the link that they went over.
+//! Calls that wait for their answers, per link.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -6,20 +6,19 @@
 use hemlocktack_protocol::{Answer, CallId, CallProgress};
 use tokio::sync::mpsc;
 
-/// Answers or resolutions that may wait for one call; there are two at most.
-pub(super) const EVENTS_A_CALL: usize = 4;
+/// Capacity of a call's event channel; there are at most two events per call.
+pub(super) const EVENTS_PER_CALL: usize = 4;
 
-/// What a call that waits is told.
+/// Event that a waiting call receives.
 pub(super) enum CallEvent {
     Answer(Answer),
     Resolution(CallProgress),
 }
 
-/// Calls that wait on one link.
+/// Event channels of the calls that wait on one link.
 pub(super) type Pending = Arc<Mutex<HashMap<CallId, mpsc::Sender<CallEvent>>>>;
 
-/// A call that waits; leaving takes it off the list, so that a late answer
-/// finds nobody and is dropped.
+/// Registration of a waiting call. Dropping it removes the call, so that a late answer is discarded.
 pub(super) struct PendingCall {
     pending: Pending,
     pub(super) call_id: CallId,
@@ -51,8 +50,8 @@
     }
 }
 
-/// Tells a call; one that nobody waits for any more is dropped.
-pub(super) fn settle(pending: &Pending, call_id: CallId, event: CallEvent) {
+/// Delivers an event to a waiting call; drops it if nobody waits any longer.
+pub(super) fn deliver(pending: &Pending, call_id: CallId, event: CallEvent) {
     let waiting = pending
         .lock()
         .unwrap_or_else(PoisonError::into_inner)
--- a/crates/hemlocktack-node/src/links/queries.rs
+++ b/crates/hemlocktack-node/src/links/queries.rs
@@ -1,4 +1,4 @@
-//! Questions between nodes that are no calls: status, spans, configuration, drain.
+//! Queries to other nodes, apart from calls: status, spans, configuration, drain, handover.
 
 use std::collections::HashMap;
 use std::sync::atomic::Ordering;
@@ -13,34 +13,34 @@
 
 type Waiting = HashMap<u64, oneshot::Sender<frame::Body>>;
 
-/// Questions that wait for their answer, by query id.
+/// Queries that wait for their answer, by query id.
 #[derive(Clone, Default)]
 pub(crate) struct PendingQueries {
     waiting: Arc<Mutex<Waiting>>,
 }
 
 impl PendingQueries {
-    /// Hands an answer to whoever asked; one that nobody waits for is dropped.
-    pub(super) fn settle(&self, body: frame::Body) {
+    /// Delivers an answer to the query that waits for it; drops it if none does.
+    pub(super) fn deliver(&self, body: frame::Body) {
         let Some(query_id) = query_id(&body) else {
             return;
         };
-        let asker = self
+        let reply_sender = self
             .waiting
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .remove(&query_id);
-        if let Some(asker) = asker {
-            let _ = asker.send(body);
+        if let Some(reply_sender) = reply_sender {
+            let _ = reply_sender.send(body);
         }
     }
 
     fn register(&self, query_id: u64) -> oneshot::Receiver<frame::Body> {
-        let (asker, answer) = oneshot::channel();
+        let (reply_sender, answer) = oneshot::channel();
         self.waiting
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .insert(query_id, asker);
+            .insert(query_id, reply_sender);
         answer
     }
 
@@ -53,43 +53,43 @@
 }
 
 impl Links {
-    /// Asks one node; `question` gets the query id to put into its message.
+    /// Sends a query to a node; `build_query` receives the query id for its message.
     pub(crate) async fn query(
         &self,
         peer: &Peer,
         deadline: Instant,
-        question: impl FnOnce(u64) -> frame::Body,
+        build_query: impl FnOnce(u64) -> frame::Body,
     ) -> Option<frame::Body> {
         let link = self.link(peer);
         let connection = self.connect(&link, deadline).await?;
-        self.query_over(&connection, deadline, question).await
+        self.query_over(&connection, deadline, build_query).await
     }
 
-    /// Asks one start of a node and no other.
+    /// Sends a query to one incarnation of a node; `None` if another one answers.
     pub(crate) async fn query_incarnation(
         &self,
         peer: &Peer,
         incarnation: Incarnation,
         deadline: Instant,
-        question: impl FnOnce(u64) -> frame::Body,
+        build_query: impl FnOnce(u64) -> frame::Body,
     ) -> Option<frame::Body> {
         let link = self.link(peer);
         let connection = self.connect(&link, deadline).await?;
         if connection.peer_incarnation != incarnation {
             return None;
         }
-        self.query_over(&connection, deadline, question).await
+        self.query_over(&connection, deadline, build_query).await
     }
 
     async fn query_over(
         &self,
         connection: &Connection,
         deadline: Instant,
-        question: impl FnOnce(u64) -> frame::Body,
+        build_query: impl FnOnce(u64) -> frame::Body,
     ) -> Option<frame::Body> {
         let query_id = self.next_query_id.fetch_add(1, Ordering::Relaxed);
         let answer = self.queries.register(query_id);
-        if !connection.send(question(query_id)).await {
+        if !connection.send(build_query(query_id)).await {
             self.queries.forget(query_id);
             return None;
         }
--- a/crates/hemlocktack-node/src/links/questions.rs
+++ b/crates/hemlocktack-node/src/links/query_handler.rs
@@ -1,4 +1,4 @@
-//! Answers to what other nodes ask over a link.
+//! Answers to queries that other nodes send over a link.
 
 use std::sync::Arc;
 
@@ -9,9 +9,9 @@
 use crate::node::Node;
 use crate::telemetry;
 
-/// Answers a question; what is none is passed over.
-pub(super) async fn answer(node: &Arc<Node>, connection: &Connection, question: frame::Body) {
-    let answer = match question {
+/// Answers a query; ignores any other frame.
+pub(super) async fn answer_query(node: &Arc<Node>, connection: &Connection, query: frame::Body) {
+    let answer = match query {
         frame::Body::StatusPull(pull) => frame::Body::Status(NodeStatus {
             query_id: pull.query_id,
             ..telemetry::status(node)
--- a/crates/hemlocktack-node/src/links/senders.rs
+++ b/crates/hemlocktack-node/src/links/senders.rs
@@ -1,4 +1,4 @@
-//! Those who send calls here, and what became of their calls.
+//! Nodes that send calls here, and the outcomes of their calls.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -10,16 +10,16 @@
 
 use super::connection::Connection;
 
-/// What this node remembers of those who send it calls.
+/// The nodes that send calls to this node, with their calls.
 ///
-/// It outlives connections: an answer goes to the connection that its call came over
-/// and to those that it was asked about over.
+/// Outlives connections: an answer goes to the connection that its call arrived on and to those
+/// that a query for it arrived on.
 pub(crate) struct Senders {
     arrivals: Mutex<Arrivals>,
     senders: Mutex<HashMap<NodeIncarnation, Arc<Sender>>>,
 }
 
-/// One start of a node that has a link here, or several.
+/// One incarnation of a node that has one or more links here.
 pub(super) struct Sender {
     pub(super) identity: NodeIncarnation,
     state: Mutex<SenderState>,
@@ -31,11 +31,11 @@
     calls: HashMap<CallId, OpenCall>,
 }
 
-/// A call that has no answer yet.
+/// A call that has not been answered yet.
 struct OpenCall {
     cancelled: CancellationToken,
-    /// Where its sender waits for the answer: the connection that it came over, and
-    /// those that it was asked for over.
+    /// Connections on which the sender waits for the answer: the one that the call arrived on, and
+    /// those that queries for it arrived on.
     reply_to: Vec<Connection>,
 }
 
@@ -59,23 +59,23 @@
         sender
     }
 
-    /// Forgets a sender whose last link closed with no call of it running. What
-    /// became of its calls stays known in `arrivals`, which is bounded.
+    /// Removes a sender whose last link is closed and that has no running calls. The outcomes of
+    /// its calls stay in `arrivals`, which is bounded.
     pub(super) fn disconnected(&self, sender: &Sender) {
         sender.state().open_links -= 1;
         self.forget_if_gone(sender);
     }
 
-    /// Lists a call that came over this connection; what it returns is cancelled when
-    /// nobody waits for the call any more. `None` for a call that came before.
+    /// Registers a call that arrived on this connection. The returned token is cancelled when
+    /// nobody waits for the call any longer. Returns `None` for a call that arrived before.
     ///
-    /// Noted and listed in one step, as a question that came between the two would be
-    /// told that the call runs, and its connection would not hear of the answer.
+    /// The arrival is recorded and the call registered under one lock. A query in between would be
+    /// told that the call runs, and its connection would not get the answer.
     pub(super) fn begin_call(
         &self,
         sender: &Sender,
         call_id: CallId,
-        came_over: &Connection,
+        received_on: &Connection,
     ) -> Option<CancellationToken> {
         let mut state = sender.state();
         if self.arrivals().record_arrival(&sender.identity, call_id) != Arrival::New {
@@ -84,33 +84,33 @@
         let cancelled = CancellationToken::new();
         let call = OpenCall {
             cancelled: cancelled.clone(),
-            reply_to: vec![came_over.clone()],
+            reply_to: vec![received_on.clone()],
         };
         state.calls.insert(call_id, call);
         Some(cancelled)
     }
 
-    /// What became of a call that its sender asks about over this connection, where it
-    /// waits from now on.
+    /// Returns the state of a call that its sender queries over this connection, on which the
+    /// sender waits from now on.
     ///
-    /// A question may lie on a lost connection and be read after the one over the
-    /// next, so the answer goes to all that are open.
+    /// A query on a lost connection may be read after the one on the next connection, so the
+    /// answer goes to all open ones.
     pub(super) fn resolve(
         &self,
         sender: &Sender,
         call_id: CallId,
-        asked_over: &Connection,
+        queried_on: &Connection,
     ) -> Resolution {
         let mut state = sender.state();
         if let Some(call) = state.calls.get_mut(&call_id) {
             call.reply_to.retain(|connection| !connection.is_closed());
-            call.reply_to.push(asked_over.clone());
+            call.reply_to.push(queried_on.clone());
         }
         self.arrivals().resolve(&sender.identity, call_id)
     }
 
-    /// Keeps an answer for questions, takes its call off the list, and says where its
-    /// sender waits.
+    /// Keeps an answer for later queries, removes its call, and returns the connections on which
+    /// the sender waits.
     pub(super) fn finish(&self, sender: &Sender, answer: &Answer) -> Vec<Connection> {
         let kept = Some(Arc::new(answer.clone()));
         let mut state = sender.state();
@@ -127,7 +127,7 @@
 
     fn forget_if_gone(&self, sender: &Sender) {
         let mut senders = self.senders.lock().unwrap_or_else(PoisonError::into_inner);
-        // A newer link may have brought a newer entry of the same identity.
+        // A newer link may have created a newer entry of the same identity.
         let is_listed = senders
             .get(&sender.identity)
             .is_some_and(|listed| std::ptr::eq(Arc::as_ptr(listed), sender));
--- a/crates/hemlocktack-node/src/links/tests.rs
+++ b/crates/hemlocktack-node/src/links/tests.rs
@@ -1,4 +1,4 @@
-//! Calls and questions on two links of one sender at once.
+//! Concurrent calls and queries on two links of one sender.
 
 #![allow(clippy::unwrap_used)]
 
@@ -10,7 +10,7 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use super::connection::Connection;
-use super::heard::Heard;
+use super::last_received::LastReceived;
 use super::senders::Senders;
 
 const ROUNDS: u64 = 100_000;
@@ -21,14 +21,17 @@
     let near = TcpStream::connect(listener.local_addr().unwrap()).await;
     let (far, _) = listener.accept().await.unwrap();
     let (_, writer) = near.unwrap().into_split();
-    (Connection::start(1, writer, Heard::new(), false), far)
+    (
+        Connection::start(1, writer, LastReceived::new(), false),
+        far,
+    )
 }
 
-/// Guards against an answer that goes over a lost link alone: a question over the next
-/// one comes in the moment in which its call does, or its answer, and the sender is
-/// told that the call runs.
+/// Guards against an answer that is sent over a lost link only. This happens when a query over the
+/// next link arrives at the same moment as its call or its answer, and the sender is told that the
+/// call runs.
 #[tokio::test]
-async fn a_sender_that_is_told_that_its_call_runs_gets_the_answer() {
+async fn a_sender_that_is_told_its_call_is_running_gets_the_answer() {
     let (lost, _far) = connection().await;
     let (next, _far) = connection().await;
     lost.close();
--- a/crates/hemlocktack-node/tests/decoders/main.rs
+++ b/crates/hemlocktack-node/tests/decoders/main.rs
@@ -8,8 +8,8 @@
 #[path = "../../src/links/codec.rs"]
 mod codec;
 #[allow(dead_code)]
-#[path = "../../src/links/heard.rs"]
-mod heard;
+#[path = "../../src/links/last_received.rs"]
+mod last_received;
 #[allow(dead_code, unused_imports)]
 #[path = "../../src/settings/mod.rs"]
 mod settings;
