--- a/crates/hemlocktack-node/src/callers/answer.rs
+++ b/crates/hemlocktack-node/src/callers/answer.rs
@@ -1,4 +1,4 @@
-//! What a caller gets back.
+//! HTTP response to a caller.
 
 use std::time::Duration;
 
@@ -10,11 +10,11 @@
 use rocket::Response;
 use rocket::http::Status;
 
-use super::leaving::TrackedBody;
+use super::tracked_body::TrackedBody;
 use crate::calls::retry_after;
 use crate::counters::InFlightGuard;
 
-/// Answer to one request of a caller, about to leave.
+/// Answer to one request of a caller, ready to be sent.
 pub(crate) struct CallerAnswer {
     pub(crate) outcome: Outcome,
     pub(crate) reason: Reason,
@@ -23,17 +23,17 @@
     pub(crate) body: Bytes,
     pub(crate) retry_after: Option<Duration>,
     pub(crate) fresh_ticket: Option<String>,
-    /// Names the trace of a request without an answer, for `explain`.
+    /// Identifies the trace of a request without an answer, for the `explain` command.
     pub(crate) traceparent: Option<String>,
 }
 
 impl CallerAnswer {
-    /// A refusal of the entry itself: nothing was sent anywhere.
+    /// Creates the answer to a request that the entry node refuses without sending it anywhere.
     pub(crate) fn refused(reason: Reason) -> Self {
         Self::from_answer(crate::calls::not_run_answer(reason, None))
     }
 
-    /// Translates what came back through the fleet.
+    /// Converts the answer to a call.
     pub(crate) fn from_answer(answer: Answer) -> Self {
         let outcome = answer.outcome();
         let reason = answer.reason();
@@ -64,7 +64,8 @@
         }
     }
 
-    /// The call stays in flight until the answer has left or its caller has gone.
+    /// Converts the answer to an HTTP response. The call stays in flight until the response is sent
+    /// or the caller has disconnected.
     pub(crate) fn into_response(self, in_flight: InFlightGuard) -> Response<'static> {
         let mut builder = Response::build();
         builder.status(Status::new(self.status));
@@ -95,7 +96,8 @@
     }
 }
 
-/// The header has whole seconds only; rounding down would bring callers back early.
+/// Rounds up to whole seconds, the unit of the header; rounding down would make callers retry too
+/// early.
 fn whole_seconds(duration: Duration) -> u64 {
     duration.as_millis().div_ceil(1000) as u64
 }
--- a/crates/hemlocktack-node/src/callers/mod.rs
+++ b/crates/hemlocktack-node/src/callers/mod.rs
@@ -1,11 +1,13 @@
-//! The callers' side: HTTP in, HTTP out.
+//! HTTP interface for callers.
 
 mod answer;
-mod leaving;
 mod observe;
 mod request;
 mod routes;
+mod tracked_body;
 
 pub(crate) use answer::CallerAnswer;
-pub(crate) use request::{CONNECTION_HEADERS, CallerRequest, has_key, is_passed_on, read_head};
+pub(crate) use request::{
+    CONNECTION_HEADERS, CallerRequest, has_idempotency_key, is_forwarded_header, read_head,
+};
 pub(crate) use routes::routes;
--- a/crates/hemlocktack-node/src/callers/observe.rs
+++ b/crates/hemlocktack-node/src/callers/observe.rs
@@ -1,4 +1,4 @@
-//! What a request's entry leaves in metrics and traces.
+//! Metrics and traces of requests at their entry node.
 
 use hemlocktack_protocol::{CONTEXT_HEADER, Outcome, TRACEPARENT_HEADER};
 use hemlocktack_telemetry::{ActiveSpan, SpanEnd, SpanName, TraceContext};
@@ -8,7 +8,7 @@
 use crate::node::Node;
 use crate::telemetry::request_line;
 
-/// A request from its arrival until its answer leaves.
+/// Entry span of a request, from its arrival until its answer is sent.
 pub(super) struct ObservedEntry {
     span: ActiveSpan,
 }
@@ -20,8 +20,8 @@
         Self { span }
     }
 
-    /// What the request does next belongs to its entry.
-    pub(super) fn pass_trace(&self, mut call: CallerRequest) -> CallerRequest {
+    /// Sets the entry span as the trace parent of the request.
+    pub(super) fn with_trace(&self, mut call: CallerRequest) -> CallerRequest {
         call.traceparent = Some(self.span.context().header());
         call
     }
@@ -49,9 +49,8 @@
     }
 }
 
-/// The caller's own trace; or that of the running call which a deeper call is
-/// made for, so that an upstream which passes on only the system's context does
-/// not break the trace in two.
+/// Returns the caller's trace context or, for a child call without one, that of its parent. An
+/// upstream that forwards only the context header thus does not split the trace.
 fn trace_context(node: &Node, request: &Request<'_>) -> TraceContext {
     let header = request.headers().get_one(TRACEPARENT_HEADER);
     if let Some(context) = header.and_then(TraceContext::parse) {
--- a/crates/hemlocktack-node/src/callers/request.rs
+++ b/crates/hemlocktack-node/src/callers/request.rs
@@ -1,4 +1,4 @@
-//! What a caller sent, before anything is decided.
+//! Parsing of a caller's request.
 
 use std::time::Duration;
 
@@ -9,8 +9,8 @@
 };
 use rocket::Request;
 
-/// Headers that hold for one connection only, and those that frame a body and
-/// are set anew; passed on they would describe the wrong connection.
+/// Hop-by-hop headers, and those that frame a body and are set anew. Forwarded, they would describe
+/// the wrong connection.
 pub(crate) const CONNECTION_HEADERS: [&str; 8] = [
     "connection",
     "keep-alive",
@@ -21,16 +21,16 @@
     "upgrade",
     "content-length",
 ];
-/// The HTTP client sets it anew.
+/// Not forwarded, as the HTTP client sets it anew.
 const HOST_HEADER: &str = "host";
 
 /// A caller's request.
 pub(crate) struct CallerRequest {
     pub(crate) service: ServiceName,
     pub(crate) method: &'static str,
-    /// Path below the service with its query, begins with '/'.
+    /// Path below the service, with its query; begins with `/`.
     pub(crate) path: String,
-    /// Without the system's own headers and those of the connection.
+    /// Headers without reserved ones and those of the connection.
     pub(crate) headers: Vec<Header>,
     pub(crate) body: Bytes,
     pub(crate) caller_kind: Option<String>,
@@ -58,7 +58,7 @@
         service: service.into(),
         method: request.method().as_str(),
         path,
-        headers: passed_on(request),
+        headers: forwarded_headers(request),
         body: Bytes::new(),
         caller_kind: own_header(request, CALLER_KIND_HEADER),
         timeout: read_timeout(request)?,
@@ -68,13 +68,13 @@
     })
 }
 
-/// Whether the request may have been sent before, with the same ticket.
-pub(crate) fn has_key(request: &Request<'_>) -> bool {
+/// Whether the request has an idempotency key, so that it may have been sent before.
+pub(crate) fn has_idempotency_key(request: &Request<'_>) -> bool {
     request.headers().contains(IDEMPOTENCY_KEY_HEADER)
 }
 
-/// Whether a header goes on to the next party.
-pub(crate) fn is_passed_on(name: &str) -> bool {
+/// Whether a header is forwarded to the next hop.
+pub(crate) fn is_forwarded_header(name: &str) -> bool {
     !is_reserved_header(name)
         && !name.eq_ignore_ascii_case(HOST_HEADER)
         && !CONNECTION_HEADERS
@@ -82,12 +82,12 @@
             .any(|own| own.eq_ignore_ascii_case(name))
 }
 
-fn passed_on(request: &Request<'_>) -> Vec<Header> {
+fn forwarded_headers(request: &Request<'_>) -> Vec<Header> {
     let mut headers = Vec::new();
     for header in request
         .headers()
         .iter()
-        .filter(|header| is_passed_on(header.name.as_str()))
+        .filter(|header| is_forwarded_header(header.name.as_str()))
     {
         headers.push(Header {
             name: header.name.as_str().to_owned(),
--- a/crates/hemlocktack-node/src/callers/routes.rs
+++ b/crates/hemlocktack-node/src/callers/routes.rs
@@ -1,4 +1,4 @@
-//! One route for any method and any path.
+//! Route handler for all methods and paths.
 
 use std::sync::Arc;
 
@@ -11,13 +11,13 @@
 use tokio::io::AsyncReadExt;
 
 use super::observe::ObservedEntry;
-use super::{CallerRequest, has_key, read_head};
+use super::{CallerRequest, has_idempotency_key, read_head};
 use crate::calls;
 use crate::node::Node;
 use crate::refused_body::discard_with_timeout;
 
-/// What a caller may go on sending of a body that is refused.
-const REST_TAKEN_BYTES: usize = 64 << 20;
+/// Bytes of a refused body that are read and discarded.
+const MAX_DISCARDED_BYTES: usize = 64 << 20;
 const METHODS: [Method; 7] = [
     Method::Get,
     Method::Head,
@@ -28,7 +28,7 @@
     Method::Options,
 ];
 
-/// Routes of the caller address.
+/// Returns the routes of the caller address.
 pub(crate) fn routes(node: &Arc<Node>) -> Vec<Route> {
     let mut routes = Vec::new();
     for method in METHODS {
@@ -52,8 +52,8 @@
         let in_flight = self.node.track_call();
         let entry = ObservedEntry::begin(&self.node, request);
         let answer = match read(&self.node, request, data).await {
-            Ok(call) => calls::handle_request(&self.node, entry.pass_trace(call)).await,
-            Err(reason) => calls::refused_answer(reason, has_key(request)),
+            Ok(call) => calls::handle_request(&self.node, entry.with_trace(call)).await,
+            Err(reason) => calls::refused_answer(reason, has_idempotency_key(request)),
         };
         let answer = entry.end(&self.node, request, answer);
         Outcome::Success(answer.into_response(in_flight))
@@ -64,7 +64,7 @@
     let mut call = match read_head(request) {
         Ok(call) => call,
         Err(reason) => {
-            take_rest(data.open(REST_TAKEN_BYTES.bytes())).await;
+            discard_rest(data.open(MAX_DISCARDED_BYTES.bytes())).await;
             return Err(reason);
         }
     };
@@ -74,7 +74,7 @@
 
 async fn read_body(node: &Node, call: &CallerRequest, data: Data<'_>) -> Result<Bytes, Reason> {
     let limit_bytes = node.body_limit_bytes(&call.service);
-    let mut stream = data.open((limit_bytes + REST_TAKEN_BYTES).bytes());
+    let mut stream = data.open((limit_bytes + MAX_DISCARDED_BYTES).bytes());
     let mut body = Vec::new();
     let more_than_limit = limit_bytes as u64 + 1;
     (&mut stream)
@@ -83,13 +83,13 @@
         .await
         .map_err(|_| Reason::MalformedRequest)?;
     if body.len() > limit_bytes {
-        take_rest(stream).await;
+        discard_rest(stream).await;
         return Err(Reason::BodyTooLarge);
     }
     Ok(Bytes::from(body))
 }
 
-async fn take_rest(mut rest: DataStream<'_>) {
+async fn discard_rest(mut rest: DataStream<'_>) {
     let mut nowhere = tokio::io::sink();
     discard_with_timeout(tokio::io::copy(&mut rest, &mut nowhere)).await;
 }
--- a/crates/hemlocktack-node/src/callers/leaving.rs
+++ b/crates/hemlocktack-node/src/callers/tracked_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer on its way to the caller.
+//! Response body that keeps its call in flight.
 
 use std::io::{Cursor, Result, SeekFrom};
 use std::pin::Pin;
@@ -9,14 +9,13 @@
 
 use crate::counters::InFlightGuard;
 
-/// Body that keeps its call in flight until the HTTP server has read it to its
-/// end, or has dropped it because the caller is gone.
+/// Response body that keeps its call in flight until the HTTP server has read it completely, or has
+/// dropped it because the caller has disconnected.
 ///
-/// Failure: a phone reads a large page slowly while its node stops. With the
-/// page ready nothing was in flight any more, the drain ended, and the listener
-/// cut the connection seconds later. The server reads a piece only when the
-/// one before it is on its way, so what it still holds at the end fits into
-/// the listener's own grace.
+/// If a call ended when its answer was ready, the drain of a stopping node could finish while a
+/// slow client, such as a phone, still reads a large page, and the listener would close the
+/// connection seconds later. The server reads a chunk only after it has sent the previous one, so
+/// what it still holds at the end is sent within the listener's grace period.
 pub(super) struct TrackedBody {
     body: Cursor<Bytes>,
     _in_flight: InFlightGuard,
--- a/crates/hemlocktack-node/src/handover/take.rs
+++ b/crates/hemlocktack-node/src/handover/incoming.rs
@@ -1,4 +1,4 @@
-//! The successor's side.
+//! Handover on the successor's side.
 
 use hemlocktack_fleet::NodeIncarnation;
 use hemlocktack_protocol::{Handover, HandoverAccepted, NodeState};
@@ -6,10 +6,10 @@
 
 use crate::node::Node;
 
-/// Takes in a frame of a stopping node; the answer says how far it got.
+/// Handles a frame of a stopping node and returns the progress of the handover.
 ///
-/// From the commit on this node is the home; others learn it from its own
-/// record, see `Node::own_member`.
+/// Once it is committed, this node is the home of the tickets. Other nodes learn this from its
+/// record; see `Node::own_member`.
 pub(crate) fn receive_frame(
     node: &Node,
     from: &NodeIncarnation,
--- a/crates/hemlocktack-node/src/handover/mod.rs
+++ b/crates/hemlocktack-node/src/handover/mod.rs
@@ -1,9 +1,10 @@
-//! Planned stop: this node's tickets go to another node of its service.
+//! Handover of a stopping node's tickets to another node of its service.
 //!
-//! The promise is kept by `hemlocktack_fleet::handover`; here are its sends.
+//! `hemlocktack_fleet::handover` implements the protocol; this module sends and receives its
+//! frames.
 
-mod give;
-mod take;
+mod incoming;
+mod outgoing;
 
-pub(crate) use give::{TIME_LIMIT, send_tickets};
-pub(crate) use take::receive_frame;
+pub(crate) use incoming::receive_frame;
+pub(crate) use outgoing::{TIME_LIMIT, send_tickets};
--- a/crates/hemlocktack-node/src/handover/give.rs
+++ b/crates/hemlocktack-node/src/handover/outgoing.rs
@@ -1,4 +1,4 @@
-//! The stopping node's side.
+//! Handover on the stopping node's side.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -10,24 +10,24 @@
 use crate::links::Peer;
 use crate::node::{Node, NodeLocation};
 
-/// A part is a quarter of a megabyte at most; a successor that does not accept
-/// it within this time is left for another.
-const PART_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause before the next offer when none of the known nodes accepts.
-const OFFER_PAUSE: Duration = Duration::from_millis(200);
-/// Full tables take a few hundred parts; a node that found no successor within
-/// this time leaves, and its tickets' outcome is `unknown` from then on.
+/// Timeout for the acceptance of a frame, which has a quarter of a megabyte at most. After it,
+/// another successor is tried.
+const FRAME_TIMEOUT: Duration = Duration::from_secs(1);
+/// Pause before the next round of offers if no known node accepts.
+const OFFER_RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// Time limit for the whole handover; full tables take a few hundred frames. A node that finds no
+/// successor within this time leaves, and the outcome of its tickets is `unknown` from then on.
 pub(crate) const TIME_LIMIT: Duration = Duration::from_secs(10);
-/// A service whose last node stops has nobody to hand over to.
+/// How long to wait for a successor if there is none, as when the last node of a service stops.
 const LAST_OF_SERVICE_WAIT: Duration = Duration::from_secs(1);
 
-/// Another node of the service, as members know it.
+/// Another node of the service that may take over.
 struct Successor {
-    name: NodeIncarnation,
+    identity: NodeIncarnation,
     peer: Peer,
 }
 
-/// Hands over all tickets; `None` if no successor confirmed that it has them.
+/// Hands over all tickets and returns the successor; `None` if no successor confirmed it.
 pub(crate) async fn send_tickets(node: &Arc<Node>) -> Option<NodeIncarnation> {
     let mut leaving = OutgoingHandover::begin(&mut node.home.table());
     let begun = Instant::now();
@@ -37,22 +37,22 @@
             return None;
         }
         for successor in successors {
-            let bound_to = leaving.successor();
-            if bound_to.is_some_and(|bound_to| *bound_to != successor.name) {
+            let required_successor = leaving.successor();
+            if required_successor.is_some_and(|required| *required != successor.identity) {
                 continue;
             }
             if offer(node, &mut leaving, &successor).await {
-                return Some(successor.name);
+                return Some(successor.identity);
             }
             leaving.abandon();
         }
-        tokio::time::sleep(OFFER_PAUSE).await;
+        tokio::time::sleep(OFFER_RETRY_PAUSE).await;
     }
     None
 }
 
-/// Those who may take over, in an order of this node's own: nodes that stop
-/// together do not all go to the same one.
+/// Returns the possible successors, in an order that differs per node, so that nodes that stop
+/// together do not all choose the same one.
 fn successors(node: &Node) -> Vec<Successor> {
     let Some(view) = node.services.service(&node.settings.service) else {
         return Vec::new();
@@ -64,7 +64,7 @@
     let mut successors: Vec<_> = ready
         .filter_map(|peer| match node.locate(&peer.member) {
             Some(NodeLocation::Remote(there)) => Some(Successor {
-                name: peer.identity.clone(),
+                identity: peer.identity.clone(),
                 peer: there,
             }),
             _ => None,
@@ -79,7 +79,7 @@
 }
 
 async fn offer(node: &Arc<Node>, leaving: &mut OutgoingHandover, successor: &Successor) -> bool {
-    let mut frames = leaving.offer(&successor.name);
+    let mut frames = leaving.offer(&successor.identity);
     loop {
         let mut progress = HandoverProgress::Waiting;
         for frame in frames {
@@ -96,20 +96,20 @@
     }
 }
 
-/// `None`: no answer of this very start of the successor.
+/// Sends one frame; `None` if this incarnation of the successor did not answer.
 async fn send(
     node: &Arc<Node>,
     leaving: &mut OutgoingHandover,
     successor: &Successor,
     part: Handover,
 ) -> Option<HandoverProgress> {
-    let deadline = Instant::now() + PART_TIMEOUT;
+    let deadline = Instant::now() + FRAME_TIMEOUT;
     let question = |query_id| frame::Body::Handover(Handover { query_id, ..part });
     let answer = node
         .links
         .query_incarnation(
             &successor.peer,
-            successor.name.incarnation,
+            successor.identity.incarnation,
             deadline,
             question,
         )
@@ -117,5 +117,5 @@
     let frame::Body::HandoverAccepted(accepted) = answer else {
         return None;
     };
-    Some(leaving.handle_accepted(&successor.name, &accepted))
+    Some(leaving.handle_accepted(&successor.identity, &accepted))
 }
--- a/crates/hemlocktack-node/src/links/last_received.rs
+++ b/crates/hemlocktack-node/src/links/last_received.rs
@@ -4,8 +4,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// Time of the last activity of a link's peer. Bytes count rather than whole frames, because a large
-/// answer over a slow network takes long although the peer is active.
+/// Time of the last activity of a link's peer. Bytes count rather than whole frames, because a
+/// large answer over a slow network takes long although the peer is active.
 #[derive(Clone)]
 pub(super) struct LastReceived {
     opened: Instant,
--- a/crates/hemlocktack-node/src/links/pending.rs
+++ b/crates/hemlocktack-node/src/links/pending.rs
@@ -18,7 +18,8 @@
 /// Event channels of the calls that wait on one link.
 pub(super) type Pending = Arc<Mutex<HashMap<CallId, mpsc::Sender<CallEvent>>>>;
 
-/// Registration of a waiting call. Dropping it removes the call, so that a late answer is discarded.
+/// Registration of a waiting call. Dropping it removes the call, so that a late answer is
+/// discarded.
 pub(super) struct PendingCall {
     pending: Pending,
     pub(super) call_id: CallId,
--- a/crates/hemlocktack-node/src/peers/counts.rs
+++ b/crates/hemlocktack-node/src/peers/counts.rs
@@ -1,4 +1,4 @@
-//! Datagrams and bytes of gossip, by kind.
+//! Gossip traffic in bytes, by direction and kind of datagram.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -8,7 +8,7 @@
 /// IPv4 and UDP headers of each datagram.
 const HEADER_BYTES: u64 = 28;
 
-/// What a datagram is for.
+/// Kind of a gossip datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, EnumCount, EnumIter, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub(crate) enum GossipKind {
@@ -17,7 +17,7 @@
     IndirectProbe,
     SyncPull,
     SyncPage,
-    /// News told at once.
+    /// Changes that are sent at once, outside the regular rounds.
     News,
 }
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// Whether a datagram left or arrived.
+/// Direction of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, EnumCount, EnumIter, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub(crate) enum Direction {
@@ -42,7 +42,7 @@
     Received,
 }
 
-/// Bytes on the wire, IP and UDP headers included.
+/// Bytes on the wire, including IP and UDP headers.
 #[derive(Debug, Default)]
 pub(crate) struct GossipCounts {
     bytes: [[AtomicU64; GossipKind::COUNT]; Direction::COUNT],
@@ -58,8 +58,8 @@
         self.bytes[direction as usize][kind as usize].load(Ordering::Relaxed)
     }
 
-    /// All pairs of direction and kind.
-    pub(crate) fn each() -> impl Iterator<Item = (Direction, GossipKind)> {
+    /// Iterates over all pairs of direction and kind.
+    pub(crate) fn all_pairs() -> impl Iterator<Item = (Direction, GossipKind)> {
         Direction::iter()
             .flat_map(|direction| GossipKind::iter().map(move |kind| (direction, kind)))
     }
--- a/crates/hemlocktack-node/src/peers/gossip.rs
+++ b/crates/hemlocktack-node/src/peers/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip over UDP: the one task that owns this node's membership.
+//! Gossip over UDP, in one task that owns this node's membership state.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,12 +24,12 @@
 use crate::run::{Result, StartError};
 
 const TICK_PERIOD: Duration = Duration::from_millis(100);
-/// Shortest time between two views of the fleet that calls are placed by.
-const VIEW_PERIOD: Duration = Duration::from_millis(20);
-/// Larger than any datagram that nodes send.
+/// Shortest time between two published member lists, which calls are placed by.
+const MIN_PUBLISH_INTERVAL: Duration = Duration::from_millis(20);
+/// Receive buffer, larger than any datagram that nodes send.
 const BUFFER_BYTES: usize = 2048;
 
-/// Binds the socket and starts to gossip.
+/// Binds the socket and starts the gossip task.
 pub(super) async fn start(node: &Arc<Node>) -> Result<()> {
     let address = node.settings.gossip_listen_address;
     let socket = UdpSocket::bind(address)
@@ -77,8 +77,8 @@
                 _ = ticks.tick() => self.tick().await,
                 () = node.signals.seeds_changed.notified() => self.tick().await,
                 () = node.signals.own_record_changed.notified() => {
-                    self.tell_own().await;
-                    self.tell_suspects().await;
+                    self.publish_own_state().await;
+                    self.send_own_suspects().await;
                 }
                 () = node.signals.stopped.cancelled() => return,
             }
@@ -87,9 +87,9 @@
 
     async fn receive(&mut self, from: SocketAddr, datagram: &[u8]) {
         let node = self.node.clone();
-        let is_right =
+        let is_valid =
             |message: &[u8], mac: &[u8]| node.keys.verify(MacPurpose::Gossip, &[message], mac);
-        let opened = open_datagram(Bytes::copy_from_slice(datagram), MAC_LENGTH_BYTES, is_right);
+        let opened = open_datagram(Bytes::copy_from_slice(datagram), MAC_LENGTH_BYTES, is_valid);
         let gossip = match opened {
             Ok(gossip) => gossip,
             Err(reason) => return log_refused(&node, from, reason),
@@ -100,7 +100,7 @@
         let actions = self
             .membership
             .receive(Instant::now(), from, gossip, &mut self.rng);
-        self.act(actions).await;
+        self.execute(actions).await;
         self.publish_view(Instant::now());
     }
 
@@ -111,25 +111,25 @@
             self.seeds = seeds;
         }
         self.node.check_upstream();
-        self.tell_own().await;
-        self.tell_suspects().await;
+        self.publish_own_state().await;
+        self.send_own_suspects().await;
         let actions = self.membership.tick(Instant::now(), &mut self.rng);
-        self.act(actions).await;
+        self.execute(actions).await;
         self.publish_view(Instant::now());
     }
 
-    /// Lets calls be placed by what has changed. Not with each datagram: a node
-    /// that starts hears of the whole fleet in a few milliseconds.
+    /// Publishes a changed member list for call placement. This is rate-limited, because a node
+    /// that starts learns of the whole fleet within a few milliseconds.
     fn publish_view(&mut self, now: Instant) {
-        let is_due = now.saturating_duration_since(self.view_published) >= VIEW_PERIOD;
+        let is_due = now.saturating_duration_since(self.view_published) >= MIN_PUBLISH_INTERVAL;
         if is_due && std::mem::take(&mut self.members_changed) {
             self.view_published = now;
             self.node.set_members(self.snapshot());
         }
     }
 
-    /// Tells members what has changed here: news of leaving goes out at once.
-    async fn tell_own(&mut self) {
+    /// Sends changes of this node's own state to members; its departure is sent at once.
+    async fn publish_own_state(&mut self) {
         let publication = self.node.publication();
         let own = self.membership.own();
         let is_changed = own.state() != publication.state
@@ -138,23 +138,23 @@
         if is_changed {
             let actions = self.membership.update_own(publication, &mut self.rng);
             self.members_changed = true;
-            self.act(actions).await;
+            self.execute(actions).await;
         }
         let own = self.node.own_member();
         let (epoch, successions) = (own.ticket_epoch, own.successions);
         let actions = self
             .membership
             .update_tickets(epoch, successions, &mut self.rng);
-        self.act(actions).await;
+        self.execute(actions).await;
         let generation = self.node.active_generation();
         let actions = self.membership.set_generation(generation, &mut self.rng);
-        self.act(actions).await;
+        self.execute(actions).await;
         if publication.state == NodeState::Left {
             self.node.signals.leave_announced.notify_one();
         }
     }
 
-    async fn tell_suspects(&mut self) {
+    async fn send_own_suspects(&mut self) {
         let news = self
             .node
             .admission_queue
@@ -164,10 +164,10 @@
         }
         let suspects: Vec<SuspectRequest> = news.iter().map(suspect_request).collect();
         let actions = self.membership.send_suspects(&suspects);
-        self.act(actions).await;
+        self.execute(actions).await;
     }
 
-    async fn act(&mut self, actions: Vec<MembershipAction>) {
+    async fn execute(&mut self, actions: Vec<MembershipAction>) {
         for action in actions {
             match action {
                 MembershipAction::Send { to, gossip } => self.send(to, &gossip).await,
@@ -181,7 +181,7 @@
                         node_id,
                         generation,
                     }),
-                MembershipAction::SuspectsReceived { suspects } => self.learn(&suspects),
+                MembershipAction::SuspectsReceived { suspects } => self.record_suspects(&suspects),
                 MembershipAction::Superseded { by } => {
                     log_event!(Event::RecordReplaced, by_incarnation = by);
                     self.node.request_stop();
@@ -200,11 +200,11 @@
         self.node
             .gossip_counts
             .count(Direction::Sent, kind, datagram.len());
-        // A datagram that cannot be sent is as good as lost: probes find out.
+        // A datagram that cannot be sent counts as lost; probes detect the consequences.
         let _ = self.socket.send_to(&datagram, to).await;
     }
 
-    fn learn(&self, suspects: &[SuspectRequest]) {
+    fn record_suspects(&self, suspects: &[SuspectRequest]) {
         let now = Instant::now();
         self.node.admission_queue.with_admission(|admission| {
             for suspect in suspects {
@@ -213,7 +213,7 @@
         });
     }
 
-    /// All nodes as this one sees them, itself first.
+    /// Returns all nodes as this node sees them, starting with itself.
     fn snapshot(&self) -> Vec<Member> {
         let own = Member {
             start_order: self.membership.own().start_order,
@@ -234,7 +234,7 @@
     }
 }
 
-/// After a pause of this process one tick follows, not all that were missed.
+/// Returns the tick timer. After a pause of this process it ticks once, not for every missed tick.
 fn ticks() -> Interval {
     let mut ticks = tokio::time::interval(TICK_PERIOD);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
--- a/crates/hemlocktack-node/src/peers/mod.rs
+++ b/crates/hemlocktack-node/src/peers/mod.rs
@@ -1,5 +1,4 @@
-//! Which other nodes there are: gossip with them, and the platform's records
-//! as a way to find the first ones.
+//! Discovery of other nodes: gossip, and the platform's node records as initial seeds.
 
 mod counts;
 mod gossip;
@@ -13,28 +12,27 @@
 use crate::node::Node;
 use crate::run::Result;
 
-/// Longest that a leaving node takes to say so.
-const FAREWELL_LIMIT: Duration = Duration::from_secs(1);
-/// The same where the process is ended by force soon.
-const SHORT_FAREWELL_LIMIT: Duration = Duration::from_millis(300);
+/// Longest time that a leaving node spends on announcing its departure.
+const DEPARTURE_LIMIT: Duration = Duration::from_secs(1);
+/// The same if the process will be killed soon.
+const SHORT_DEPARTURE_LIMIT: Duration = Duration::from_millis(300);
 
-/// Starts to gossip and to publish this node.
+/// Starts the gossip and the publication of this node's record.
 pub(crate) async fn start(node: &Arc<Node>) -> Result<()> {
     gossip::start(node).await?;
-    tokio::spawn(records::keep(node.clone()));
+    tokio::spawn(records::maintain(node.clone()));
     Ok(())
 }
 
-/// Waits until members have been told that this node has left, and withdraws
-/// its record.
+/// Waits until this node's departure has been announced to members, and withdraws its record.
 pub(crate) async fn announce_departure(node: &Node) {
-    let told = node.signals.leave_announced.notified();
+    let announced = node.signals.leave_announced.notified();
     let withdrawn = node.records.withdraw(&node.identity.node_id);
-    let both = async { tokio::join!(told, withdrawn) };
-    // What others do not hear they find out by probing.
+    let both = async { tokio::join!(announced, withdrawn) };
+    // Members that miss the announcement detect the departure by probing.
     let limit = match node.adjustable().stop_grace {
-        Some(_) => SHORT_FAREWELL_LIMIT,
-        None => FAREWELL_LIMIT,
+        Some(_) => SHORT_DEPARTURE_LIMIT,
+        None => DEPARTURE_LIMIT,
     };
     let _ = tokio::time::timeout(limit, both).await;
 }
--- a/crates/hemlocktack-node/src/peers/records.rs
+++ b/crates/hemlocktack-node/src/peers/records.rs
@@ -1,4 +1,4 @@
-//! This node's record in the platform, and others' as seeds.
+//! This node's record in the platform, and the records of other nodes as seeds.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -11,22 +11,22 @@
 
 use crate::node::Node;
 
-/// How often it is looked whether the own record has changed.
-const LOOK_PERIOD: Duration = Duration::from_millis(500);
-/// Listing all records costs the platform a large answer: done when nobody is
-/// known, and otherwise this seldom, so that parts of a fleet that lost each
-/// other for longer than membership remembers find each other again.
+/// Interval of checks whether this node's own record has changed.
+const CHECK_PERIOD: Duration = Duration::from_millis(500);
+/// Interval between lists of all records while other nodes are known. A list is a large answer for
+/// the platform. It is still repeated, so that partitioned parts of a fleet find each other again
+/// after membership has forgotten the other part.
 const LIST_PERIOD: Duration = Duration::from_secs(30 * 60);
-/// Pause between lists while nobody is known: nodes that start together find
-/// no records at first.
-const LONELY_LIST_PERIOD: Duration = Duration::from_secs(1);
-/// Seeds taken from a list.
-const SEED_LIMIT: usize = 16;
+/// Interval between lists while no other node is known. Nodes that start together find no records
+/// at first.
+const ISOLATED_LIST_PERIOD: Duration = Duration::from_secs(1);
+/// Largest number of seeds taken from a list.
+const MAX_SEEDS: usize = 16;
 
-/// Publishes this node when it begins, becomes ready and drains, and when its
-/// address or succession changes; not with each change of its upstream, which
-/// gossip tells: the platform's writes would grow with the upstreams' changes.
-pub(crate) async fn keep(node: Arc<Node>) {
+/// Publishes this node's record when the node starts, becomes ready or drains, and when its address
+/// or succession changes. Changes of its upstream are only gossiped; otherwise the platform's
+/// writes would grow with them.
+pub(crate) async fn maintain(node: Arc<Node>) {
     let mut published: Option<Member> = None;
     let mut next_list = Instant::now();
     loop {
@@ -39,13 +39,13 @@
             next_list = Instant::now() + list_pause(&node);
         }
         tokio::select! {
-            () = tokio::time::sleep(LOOK_PERIOD) => {}
+            () = tokio::time::sleep(CHECK_PERIOD) => {}
             () = node.signals.stopped.cancelled() => return,
         }
     }
 }
 
-/// The own record without what changes often.
+/// Returns this node's record without the fields that change often.
 fn publishable(node: &Node) -> Member {
     Member {
         ticket_epoch: 0,
@@ -70,15 +70,15 @@
     }
 }
 
-fn is_lonely(node: &Node) -> bool {
+fn is_isolated(node: &Node) -> bool {
     let members = node.members();
     let is_live = |member: &&Member| !matches!(member.state(), NodeState::Dead | NodeState::Left);
     members.iter().filter(is_live).count() <= 1
 }
 
 fn list_pause(node: &Node) -> Duration {
-    let longest = match is_lonely(node) {
-        true => LONELY_LIST_PERIOD,
+    let longest = match is_isolated(node) {
+        true => ISOLATED_LIST_PERIOD,
         false => LIST_PERIOD,
     };
     longest.mul_f64(rand::rng().random_range(0.5..1.0))
@@ -92,20 +92,20 @@
     let others = listed.nodes.iter().map(|listed| &listed.member);
     let others = others.filter(|member| *member.node_id != *node.identity.node_id);
     let addresses = others.filter_map(|member| member.gossip_address.parse().ok());
-    let mut seeds = addresses.sample(&mut rand::rng(), SEED_LIMIT);
+    let mut seeds = addresses.sample(&mut rand::rng(), MAX_SEEDS);
     seeds.extend(&node.adjustable().seed_peers);
     node.seeds.store(Arc::new(seeds));
     node.signals.seeds_changed.notify_one();
 }
 
-/// Records of another writer name no node; that they are there is told.
+/// Logs records that cannot be read, such as those of another writer. They are ignored otherwise.
 fn log_unreadable(node: &Node, listed: &PublishedNodes) {
     let unreadable = listed.malformed_keys.len() + listed.unreadable_count;
     if unreadable == 0 {
         return;
     }
     if let Some(count) = node.unreadable_answers.record() {
-        let detail = format!("{unreadable} records of nodes cannot be read");
+        let detail = format!("{unreadable} node records cannot be read");
         log_event!(Event::PlatformUnreadable, detail, count);
     }
 }
--- a/crates/hemlocktack-node/src/telemetry/metrics.rs
+++ b/crates/hemlocktack-node/src/telemetry/metrics.rs
@@ -166,7 +166,7 @@
 
 fn register_gossip(registry: &mut Registry, node: &Node) {
     let bytes = Family::<GossipLabels, Counter>::default();
-    for (direction, kind) in GossipCounts::each() {
+    for (direction, kind) in GossipCounts::all_pairs() {
         let labels = GossipLabels {
             direction: direction.into(),
             kind: kind.into(),
--- a/crates/hemlocktack-node/src/upstream/announce.rs
+++ b/crates/hemlocktack-node/src/upstream/announce.rs
@@ -1,4 +1,4 @@
-//! What the upstream tells the node beside it.
+//! Announcements that the upstream sends to its node.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,12 +10,13 @@
 use super::Announcement;
 use crate::node::Node;
 
-/// An upstream that has not renewed for three of these counts as absent.
+/// Interval in which an upstream renews its announcement. Its lease expires after three missed
+/// renewals, and it counts as absent.
 pub(crate) const RENEWAL_INTERVAL: Duration = Duration::from_millis(1000);
-/// Renewals that may be missed.
+/// Missed renewals after which an upstream counts as absent.
 pub(crate) const MAX_MISSED_RENEWALS: u32 = 3;
 
-/// Routes of the upstream on the control address.
+/// Returns the upstream's routes on the control address.
 pub(crate) fn routes() -> Vec<Route> {
     routes![announce, drain]
 }
@@ -24,14 +25,14 @@
 fn announce(node: &State<Arc<Node>>, body: Vec<u8>) -> (Status, (ContentType, String)) {
     let announcement: Announcement = match serde_json::from_slice(&body) {
         Ok(announcement) => announcement,
-        Err(error) => return refuse(&error.to_string()),
+        Err(error) => return bad_request(&error.to_string()),
     };
     if announcement.slots == 0 || announcement.connections == 0 {
-        return refuse("slots and connections must be 1 or more");
+        return bad_request("slots and connections must be 1 or more");
     }
     let load_path = announcement.load_path.as_deref();
     if load_path.is_some_and(|path| !path.starts_with('/')) {
-        return refuse("load_path begins with /");
+        return bad_request("load_path begins with /");
     }
     node.apply_announcement(announcement);
     let reply = serde_json::json!({ "renew_every_ms": RENEWAL_INTERVAL.as_millis() as u64 });
@@ -44,7 +45,7 @@
     Status::Ok
 }
 
-fn refuse(message: &str) -> (Status, (ContentType, String)) {
+fn bad_request(message: &str) -> (Status, (ContentType, String)) {
     let reply = serde_json::json!({ "message": message });
     (Status::BadRequest, (ContentType::JSON, reply.to_string()))
 }
--- a/crates/hemlocktack-node/src/upstream/announcement.rs
+++ b/crates/hemlocktack-node/src/upstream/announcement.rs
@@ -1,30 +1,30 @@
-//! What an upstream says of itself.
+//! An upstream's announcement.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use serde::Deserialize;
 
-/// An upstream's word about itself.
+/// What an upstream announces about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Announcement {
     pub(crate) address: SocketAddr,
-    /// Requests that it works on at once.
+    /// Requests that it handles concurrently.
     pub(crate) slots: u32,
     /// Connections that it accepts.
     pub(crate) connections: u32,
-    /// It has just started and is slower than it will be.
+    /// It has just started and is still warming up.
     #[serde(default)]
     pub(crate) cold: bool,
-    /// Where it tells its load; a hint.
+    /// Path at which it reports its load, which is only a hint.
     #[serde(default)]
     pub(crate) load_path: Option<String>,
-    /// Names its start, with an interface that has such names.
+    /// Identifies the upstream's process, if its interface has such an identifier.
     #[serde(skip)]
     pub(crate) upstream_start: Option<Arc<str>>,
-    /// Counts the starts that the node has had beside it: a later start may have
-    /// the name of an earlier one.
+    /// Number of upstream processes that this node has had so far. A later process may reuse the
+    /// identifier of an earlier one.
     #[serde(skip)]
     pub(crate) start_number: u64,
 }
--- a/crates/hemlocktack-node/src/upstream/client.rs
+++ b/crates/hemlocktack-node/src/upstream/client.rs
@@ -1,4 +1,5 @@
-//! HTTP to the upstream: one call, one whole answer or an honest reason.
+//! HTTP client for upstreams with the native interface. A call ends with a complete answer or with
+//! the reason why there is none.
 
 use std::time::{Duration, Instant};
 
@@ -9,15 +10,16 @@
 use reqwest::{Client, Method, Response};
 
 use super::{UpstreamOutcome, UpstreamRequest};
-use crate::callers::is_passed_on;
+use crate::callers::is_forwarded_header;
 
-/// Client for one upstream that speaks the product's own interface.
-pub(crate) struct OwnClient {
+/// Client for one upstream with the native interface.
+pub(crate) struct NativeClient {
     client: Client,
 }
 
-impl OwnClient {
-    /// The library's own repeats are off: the node alone decides what is sent twice.
+impl NativeClient {
+    /// Creates a client. Retries of the HTTP library are off, because only the node decides what is
+    /// sent again.
     pub(crate) fn new() -> reqwest::Result<Self> {
         let client = Client::builder()
             .no_proxy()
@@ -28,8 +30,8 @@
         Ok(Self { client })
     }
 
-    /// Body of a small page of the upstream's own; `None` if it does not come
-    /// whole, in time and within the limit.
+    /// Returns the body of a small resource of the upstream; `None` if it does not arrive
+    /// completely, in time and within the limit.
     pub(crate) async fn read(
         &self,
         url: &str,
@@ -44,10 +46,10 @@
         }
     }
 
-    /// Sends the call and reads the answer to its declared end.
+    /// Sends the call and reads the complete answer.
     ///
-    /// A body that stops short of its declared length is an error of the HTTP
-    /// library and becomes `Unknown`: the caller never gets a cut answer.
+    /// The HTTP library reports a body shorter than its declared length as an error, which becomes
+    /// `Unknown`: the caller never gets a truncated answer.
     pub(super) async fn send(&self, send: &UpstreamRequest<'_>) -> UpstreamOutcome {
         let time_left = send.deadline.saturating_duration_since(Instant::now());
         match tokio::time::timeout(time_left, self.exchange(send, time_left)).await {
@@ -87,10 +89,10 @@
 
 async fn read_whole(mut response: Response, limit_bytes: usize) -> UpstreamOutcome {
     let status = response.status().as_u16();
-    if is_shed(&response) {
+    if is_refused_by_upstream(&response) {
         return UpstreamOutcome::NotRun(Reason::UpstreamShed);
     }
-    let headers = passed_on(&response);
+    let headers = forwarded_headers(&response);
     let mut body = BytesMut::new();
     loop {
         match response.chunk().await {
@@ -109,7 +111,7 @@
     }
 }
 
-fn is_shed(response: &Response) -> bool {
+fn is_refused_by_upstream(response: &Response) -> bool {
     let not_run: &'static str = Outcome::NotRun.into();
     let says_not_run = response
         .headers()
@@ -118,10 +120,10 @@
     says_not_run && response.status() == reqwest::StatusCode::SERVICE_UNAVAILABLE
 }
 
-fn passed_on(response: &Response) -> Vec<Header> {
+fn forwarded_headers(response: &Response) -> Vec<Header> {
     let mut headers = Vec::new();
     for (name, value) in response.headers() {
-        if is_passed_on(name.as_str()) {
+        if is_forwarded_header(name.as_str()) {
             headers.push(Header {
                 name: name.as_str().to_owned(),
                 value: Bytes::copy_from_slice(value.as_bytes()),
--- a/crates/hemlocktack-node/src/upstream/connections.rs
+++ b/crates/hemlocktack-node/src/upstream/connections.rs
@@ -15,66 +15,65 @@
 
 use crate::sockets;
 
-/// The upstream runs on this machine: it takes a connection within a
-/// millisecond. One that does not within this time is gone or stands still.
+/// Longest time for connecting. The upstream runs on this machine and accepts a connection within a
+/// millisecond; one that takes longer than this is gone or hangs.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Idle connections are used up to this share of the time after which the
-/// upstream closes them: a request that meets the close may or may not have
-/// been read.
-const REUSED_UP_TO: f64 = 0.7;
-/// The same where the upstream does not say when it closes them.
-const REUSED_FOR_UNSAID: Duration = Duration::from_secs(4);
-/// What an upstream says beyond this changes nothing.
-const KEPT_MOST_S: u64 = 3_600;
-/// Longest wait for a connection to be free again after its answer: the rest
-/// of a request that was answered early has to leave first.
-const FREED_WITHIN: Duration = Duration::from_secs(1);
+/// Share of the upstream's keep-alive timeout for which an idle connection is reused. A request
+/// that is sent while the upstream closes the connection may or may not have been read.
+const REUSE_SHARE: f64 = 0.7;
+/// How long an idle connection is reused if the upstream announces no keep-alive timeout.
+const DEFAULT_REUSE_TIME: Duration = Duration::from_secs(4);
+/// Longest keep-alive timeout that is taken into account.
+const MAX_KEEP_ALIVE_S: u64 = 3_600;
+/// Longest wait until a connection is free again after its answer. The rest of a request that was
+/// answered early has to be sent first.
+const MAX_RELEASE_WAIT: Duration = Duration::from_secs(1);
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// Idle connections to one upstream, the latest used last.
+/// Idle connections to one upstream, with the most recently used last.
 #[derive(Default)]
 pub(super) struct Connections {
-    idle: Arc<Mutex<Vec<Idle>>>,
+    idle: Arc<Mutex<Vec<IdleConnection>>>,
 }
 
-struct Idle {
+struct IdleConnection {
     sender: Sender,
     task: AbortHandle,
     address: SocketAddr,
     reuse_until: Instant,
 }
 
-/// A connection in use. Dropping it closes it, so that the upstream stops the
-/// work for a caller that has gone.
-pub(super) struct Leased {
+/// A connection in use. Dropping it closes it, so that the upstream stops working for a caller that
+/// has disconnected.
+pub(super) struct LeasedConnection {
     pub(super) sender: Option<Sender>,
     task: AbortHandle,
     address: SocketAddr,
-    /// No request was sent on it before.
+    /// No request was sent on this connection before.
     pub(super) is_fresh: bool,
 }
 
 impl Connections {
-    /// The connection that was used last, or a new one; `None` if the upstream
-    /// takes none.
-    pub(super) async fn lease(&self, address: SocketAddr) -> Option<Leased> {
+    /// Returns the most recently used connection, or a new one; `None` if the upstream accepts
+    /// none.
+    pub(super) async fn lease(&self, address: SocketAddr) -> Option<LeasedConnection> {
         match self.take_idle(address) {
             Some(leased) => Some(leased),
             None => self.dial(address).await,
         }
     }
 
-    /// A new connection; `None` if the upstream takes none.
-    pub(super) async fn dial(&self, address: SocketAddr) -> Option<Leased> {
+    /// Opens a new connection; `None` if the upstream accepts none.
+    pub(super) async fn dial(&self, address: SocketAddr) -> Option<LeasedConnection> {
         let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let stream = stream.ok()?.ok()?;
         sockets::configure(&stream).ok()?;
         let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
-        // Ends with an error if the upstream sends what nobody asked for; the
-        // connection is closed then, and its sender knows.
+        // The task ends with an error if the upstream sends unsolicited data. The connection is
+        // closed then, and its sender reports that.
         let task = tokio::spawn(connection.map(|_| ()));
-        Some(Leased {
+        Some(LeasedConnection {
             sender: Some(sender),
             task: task.abort_handle(),
             address,
@@ -82,7 +81,7 @@
         })
     }
 
-    fn take_idle(&self, address: SocketAddr) -> Option<Leased> {
+    fn take_idle(&self, address: SocketAddr) -> Option<LeasedConnection> {
         let now = Instant::now();
         let mut idle = lock(&self.idle);
         idle.retain(|connection| {
@@ -91,7 +90,7 @@
                 && !connection.sender.is_closed()
         });
         let connection = idle.pop()?;
-        Some(Leased {
+        Some(LeasedConnection {
             sender: Some(connection.sender),
             task: connection.task,
             address,
@@ -99,16 +98,16 @@
         })
     }
 
-    /// Keeps a connection whose answer has been read to its end.
-    pub(super) fn give_back(&self, mut leased: Leased, answer: &HeaderMap) {
+    /// Returns a connection whose answer has been read completely to the idle connections.
+    pub(super) fn release(&self, mut leased: LeasedConnection, answer: &HeaderMap) {
         let Some(mut sender) = leased.sender.take() else {
             return;
         };
-        let reuse_until = Instant::now() + reused_for(answer);
+        let reuse_until = Instant::now() + reuse_time(answer);
         let idle = self.idle.clone();
         let (task, address) = (leased.task.clone(), leased.address);
         let keep = move |sender| {
-            lock(&idle).push(Idle {
+            lock(&idle).push(IdleConnection {
                 sender,
                 task,
                 address,
@@ -117,11 +116,11 @@
         };
         match sender.ready().now_or_never() {
             Some(Ok(())) => keep(sender),
-            // Closed by the upstream, as it said or not.
+            // Closed by the upstream, whether announced or not.
             Some(Err(_)) => {}
             None => {
                 tokio::spawn(async move {
-                    let free = tokio::time::timeout(FREED_WITHIN, sender.ready()).await;
+                    let free = tokio::time::timeout(MAX_RELEASE_WAIT, sender.ready()).await;
                     if let Ok(Ok(())) = free {
                         keep(sender);
                     }
@@ -131,7 +130,7 @@
     }
 }
 
-impl Drop for Leased {
+impl Drop for LeasedConnection {
     fn drop(&mut self) {
         if self.sender.is_some() {
             self.task.abort();
@@ -139,12 +138,12 @@
     }
 }
 
-fn lock(idle: &Mutex<Vec<Idle>>) -> MutexGuard<'_, Vec<Idle>> {
+fn lock(idle: &Mutex<Vec<IdleConnection>>) -> MutexGuard<'_, Vec<IdleConnection>> {
     idle.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// How long the connection may lie idle before it is not used again.
-fn reused_for(answer: &HeaderMap) -> Duration {
+/// Returns how long an idle connection may be reused.
+fn reuse_time(answer: &HeaderMap) -> Duration {
     let said = answer
         .get("keep-alive")
         .and_then(|value| value.to_str().ok());
@@ -152,7 +151,7 @@
         let mut parameters = text.split(',').map(str::trim);
         parameters.find_map(|parameter| parameter.strip_prefix("timeout=")?.parse::<u64>().ok())
     });
-    timeout_s.map_or(REUSED_FOR_UNSAID, |timeout_s| {
-        Duration::from_secs(timeout_s.min(KEPT_MOST_S)).mul_f64(REUSED_UP_TO)
+    timeout_s.map_or(DEFAULT_REUSE_TIME, |timeout_s| {
+        Duration::from_secs(timeout_s.min(MAX_KEEP_ALIVE_S)).mul_f64(REUSE_SHARE)
     })
 }
--- a/crates/hemlocktack-node/src/upstream/interface_client.rs
+++ b/crates/hemlocktack-node/src/upstream/interface_client.rs
@@ -1,5 +1,5 @@
-//! HTTP to an upstream that speaks an interface of its own: one call, one
-//! whole answer or an honest reason.
+//! HTTP client for upstreams with a deployment-specific interface. A call ends with a complete
+//! answer or with the reason why there is none.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -11,20 +11,20 @@
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 
-use super::connections::{Connections, Leased};
+use super::connections::{Connections, LeasedConnection};
 use super::{UpstreamOutcome, UpstreamRequest};
 use crate::gateway::forwarded_headers;
 
-/// Idle connections that may turn out closed before a new one is opened.
-const STALE_MAX: usize = 3;
+/// Idle connections that may turn out to be closed before a new one is opened.
+const MAX_STALE_CONNECTIONS: usize = 3;
 
-/// Client for the one upstream beside the node.
+/// Client for the node's upstream.
 pub(crate) struct InterfaceClient {
     codec: UpstreamCodec,
     connections: Connections,
 }
 
-/// A request that could not be sent, with nothing of it written.
+/// Why a request was not sent; no byte of it was written.
 enum NotSent {
     Unreachable,
     Malformed,
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Sends the call and reads the answer to its end, until the deadline. A
-    /// caller that goes before drops this future, which closes the connection.
+    /// Sends the call and reads the complete answer, until the deadline. If the caller disconnects
+    /// before, this future is dropped, which closes the connection.
     pub(super) async fn send(&self, send: &UpstreamRequest<'_>) -> UpstreamOutcome {
         match tokio::time::timeout_at(send.deadline.into(), self.exchange(send)).await {
             Ok(end) => end,
@@ -57,7 +57,7 @@
             Err(NotSent::Malformed) => return UpstreamOutcome::NotRun(Reason::MalformedRequest),
         };
         let (head, body) = response.into_parts();
-        // It speaks another protocol from here on, which nobody asked for.
+        // The upstream switched to another protocol without being asked to.
         if head.status == StatusCode::SWITCHING_PROTOCOLS {
             return UpstreamOutcome::Unknown(Reason::UpstreamFailed);
         }
@@ -65,7 +65,7 @@
             AnswerCheck::Answer => None,
             AnswerCheck::NotRun(reason) => Some(UpstreamOutcome::NotRun(reason)),
             AnswerCheck::OtherInstance => Some(UpstreamOutcome::NotRun(Reason::UpstreamReplaced)),
-            // What comes next on this connection belongs to nobody here.
+            // The connection cannot be reused: what follows belongs to no request of this node.
             AnswerCheck::OtherRequest => return UpstreamOutcome::Unknown(Reason::UpstreamFailed),
             AnswerCheck::UnconfirmedNotRun => {
                 Some(UpstreamOutcome::Unknown(Reason::UpstreamFailed))
@@ -75,7 +75,7 @@
             Ok(body) => body,
             Err(reason) => return end.unwrap_or(UpstreamOutcome::Unknown(reason)),
         };
-        self.connections.give_back(leased, &head.headers);
+        self.connections.release(leased, &head.headers);
         end.unwrap_or_else(|| UpstreamOutcome::Answered {
             status: head.status.as_u16(),
             headers: forwarded_headers(&head.headers, &[]),
@@ -83,15 +83,15 @@
         })
     }
 
-    /// The head of the answer. Only a request of which nothing was written is
-    /// sent again, on another connection.
+    /// Sends the request and returns the head of the answer. A request is resent, on another
+    /// connection, only if nothing of it was written.
     async fn send_head(
         &self,
         send: &UpstreamRequest<'_>,
-    ) -> Result<Result<(Leased, Response<Incoming>), Reason>, NotSent> {
+    ) -> Result<Result<(LeasedConnection, Response<Incoming>), Reason>, NotSent> {
         let address = send.announcement.address;
-        for tried in 0.. {
-            let leased = match tried < STALE_MAX {
+        for attempt in 0.. {
+            let leased = match attempt < MAX_STALE_CONNECTIONS {
                 true => self.connections.lease(address).await,
                 false => self.connections.dial(address).await,
             };
@@ -103,8 +103,8 @@
             match sender.try_send_request(request).await {
                 Ok(response) => return Ok(Ok((leased, response))),
                 Err(mut error) => {
-                    let nothing_left = error.take_message().is_some();
-                    if !nothing_left {
+                    let nothing_sent = error.take_message().is_some();
+                    if !nothing_sent {
                         return Ok(Err(Reason::UpstreamFailed));
                     }
                     if leased.is_fresh {
@@ -133,7 +133,7 @@
         Some(request)
     }
 
-    /// Asks the upstream who it is and how it does.
+    /// Queries the upstream's identity and health.
     pub(super) async fn ask_health(
         &self,
         address: SocketAddr,
@@ -155,8 +155,8 @@
     }
 }
 
-/// A body that stops before its declared end is an error of the HTTP library:
-/// a caller never gets a cut answer as if it were whole.
+/// Reads the complete body. The HTTP library reports a body shorter than its declared length as an
+/// error, so a caller never gets a truncated answer as if it were complete.
 async fn read_whole(mut body: Incoming, limit_bytes: usize) -> Result<Bytes, Reason> {
     let mut whole = BytesMut::new();
     while let Some(frame) = body.frame().await {
--- a/crates/hemlocktack-node/src/upstream/load.rs
+++ b/crates/hemlocktack-node/src/upstream/load.rs
@@ -1,4 +1,4 @@
-//! The upstream's word about its load: a hint that may lag or lie.
+//! Polling of the upstream's load reports, a hint that may be late or wrong.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,35 +8,35 @@
 
 use crate::node::Node;
 
-/// Reports lag anyway; one a second costs the upstream nothing.
-const ASK_EVERY: Duration = Duration::from_secs(1);
-/// A report that takes longer is older than the node's own count.
+/// Polling interval. Reports lag anyway, and one per second costs the upstream nothing.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Timeout of a report. One that takes longer is older than the node's own count.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
 const REPORT_LIMIT_BYTES: usize = 4 << 10;
 
-/// One report. Upstreams may tell more than the node reads.
+/// One load report. Other fields that upstreams send are ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 struct LoadReport {
     in_flight: u32,
     slots: u32,
 }
 
-/// What stands for a report that did not come: an old one must not stay for ever.
+/// Used in place of a missing report, so that an old one does not stay in effect.
 const NO_REPORT: LoadReport = LoadReport {
     in_flight: 0,
     slots: 1,
 };
 
-/// Asks the upstream until the node has stopped.
+/// Polls the upstream's load until the node has stopped.
 pub(crate) async fn poll_load(node: Arc<Node>) {
     while !node.signals.stopped.is_cancelled() {
-        tokio::time::sleep(ASK_EVERY).await;
-        ask(&node).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
+        poll_once(&node).await;
     }
 }
 
-/// Asks once, if the upstream has said where.
-async fn ask(node: &Node) {
+/// Reads one load report, if the upstream has announced a path for it.
+async fn poll_once(node: &Node) {
     if !matches!(
         node.upstream_state(),
         UpstreamState::Ready | UpstreamState::Cold
--- a/crates/hemlocktack-node/src/upstream/mod.rs
+++ b/crates/hemlocktack-node/src/upstream/mod.rs
@@ -1,18 +1,18 @@
-//! The upstream beside this node: its announcements and the calls to it.
+//! This node's upstream: its announcements and the calls to it.
 
 mod announce;
 mod announcement;
-mod any_client;
 mod client;
 mod connections;
 mod interface_client;
 mod load;
 mod send;
 mod starts;
+mod upstream_client;
 
 pub(crate) use announce::{MAX_MISSED_RENEWALS, RENEWAL_INTERVAL, routes};
 pub(crate) use announcement::Announcement;
-pub(crate) use any_client::UpstreamClient;
 pub(crate) use load::poll_load;
 pub(crate) use send::{UpstreamOutcome, UpstreamRequest};
 pub(crate) use starts::{MessageOrigin, UpstreamStarts};
+pub(crate) use upstream_client::UpstreamClient;
--- a/crates/hemlocktack-node/src/upstream/send.rs
+++ b/crates/hemlocktack-node/src/upstream/send.rs
@@ -1,4 +1,4 @@
-//! One send of a call to the upstream, and how it ended.
+//! A call sent to the upstream, and its outcome.
 
 use std::time::Instant;
 
@@ -7,17 +7,17 @@
 
 use super::Announcement;
 
-/// One send of a call to the upstream.
+/// A call to send to the upstream.
 pub(crate) struct UpstreamRequest<'a> {
     pub(crate) announcement: &'a Announcement,
     pub(crate) call: &'a Call,
-    /// Opaque header by which deeper calls find their parent.
+    /// Value of the opaque header by which the parent of a child call is found.
     pub(crate) context: &'a str,
     pub(crate) deadline: Instant,
     pub(crate) answer_limit_bytes: usize,
 }
 
-/// How one send to the upstream ended.
+/// Outcome of a call that was sent to the upstream.
 pub(crate) enum UpstreamOutcome {
     Answered {
         status: u16,
--- a/crates/hemlocktack-node/src/upstream/starts.rs
+++ b/crates/hemlocktack-node/src/upstream/starts.rs
@@ -1,51 +1,51 @@
-//! Which start of the upstream the node has beside it.
+//! Tracking of the upstream's process. A start is one run of that process; its id is reported by
+//! the upstream as `upstream_start`.
 
 use std::cmp::Ordering;
 use std::collections::VecDeque;
 
-/// Starts that are remembered as gone; a word of theirs comes seconds late, not
-/// dozens of starts late.
-const GONE_LIMIT: usize = 32;
+/// Number of starts remembered as gone. Their messages arrive seconds late, not dozens of starts
+/// late.
+const MAX_GONE_STARTS: usize = 32;
 
-/// Which start a message is from.
+/// The start that a message is from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum MessageOrigin {
     Current,
-    /// One of the current start's name, before it.
+    /// A start before the current one, with the same id.
     Earlier,
-    /// One of the current start's name, after it.
+    /// A start after the current one, with the same id.
     Later,
-    /// One of another name.
+    /// A start with another id.
     Other,
 }
 
-/// The upstream's starts, by what they said.
+/// The upstream's starts, as known from their messages.
 #[derive(Default)]
 pub(crate) struct UpstreamStarts {
     current: Option<String>,
-    /// When the current one started, once it has said so.
+    /// When the current start began, once it has reported that.
     started_unix_ms: Option<u64>,
-    /// Starts that were followed so far.
-    followed: u64,
+    /// Number of starts that have been current so far.
+    start_count: u64,
     sequence: Option<u64>,
     has_left: bool,
     gone: VecDeque<String>,
 }
 
 impl UpstreamStarts {
-    /// Whether a start is known at all.
+    /// Whether any start is known.
     pub(crate) fn has_current(&self) -> bool {
         self.current.is_some()
     }
 
-    /// Whose word one of this name is that says when it started.
+    /// Returns which start a message is from, by its id and start time.
     ///
-    /// Failure: an upstream crashes and starts again under its name, and counts
-    /// its messages from one. Taken for the earlier start's, they are passed
-    /// over as overtaken, or as late words of one that has left, and the
-    /// upstream gets nothing for as long as it lives; or a leave that was held
-    /// up takes the later start out. Times of one machine's starts tell them
-    /// apart, whatever its clock.
+    /// An upstream may crash, start again with the same id and number its messages from one. If
+    /// they were attributed to the earlier start, they would be ignored as out of date or as sent
+    /// after it left, and the upstream would get no calls for as long as it runs. Likewise, a
+    /// delayed leave of the earlier start would take the later one out of service. Start times of
+    /// one machine tell them apart, however its clock is set.
     pub(crate) fn origin_of(
         &self,
         upstream_start: &str,
@@ -64,23 +64,23 @@
         }
     }
 
-    /// The current start has said when it started.
+    /// Records when the current start began, if it has reported that.
     pub(crate) fn set_started(&mut self, started_unix_ms: Option<u64>) {
         self.started_unix_ms = started_unix_ms.or(self.started_unix_ms);
     }
 
-    /// Number of the current start.
+    /// Returns the number of the current start.
     pub(crate) fn current_number(&self) -> u64 {
-        self.followed
+        self.start_count
     }
 
-    /// Whether the current start has said that it takes no more work. Only
-    /// another start ends that: its late renewals do not.
+    /// Whether the current start has announced that it accepts no more calls. Only another start
+    /// resets this; late renewals do not.
     pub(crate) fn has_left(&self) -> bool {
         self.has_left
     }
 
-    /// Whether a message of the current start is later than those before it.
+    /// Whether a message of the current start is newer than those before it.
     pub(crate) fn is_newer(&mut self, sequence: u64) -> bool {
         let is_newer = self.sequence.is_none_or(|seen| seen < sequence);
         if is_newer {
@@ -89,29 +89,28 @@
         is_newer
     }
 
-    /// Whether another start's word is to be taken; `listens` is the start that
-    /// answers at the upstream's address, if one does.
+    /// Whether a message may make its start the current one; `listening` is the start that answers
+    /// at the upstream's address, if any.
     ///
-    /// Failure: a message that was held up on the way arrives after its sender
-    /// has crashed and the next start has announced itself; calls would be sent
-    /// to a start that is gone, and refused by the one that is there. Who
-    /// listens settles it; where nobody answers, a start that is known to be
-    /// gone stays gone.
-    pub(crate) fn may_become_current(&self, upstream_start: &str, listens: Option<&str>) -> bool {
-        match listens {
-            Some(listens) => listens == upstream_start,
+    /// A delayed message may arrive after its sender has crashed and the next start has announced
+    /// itself. Calls would then be addressed to a start that is gone, and refused by the one that
+    /// runs. The start that answers at the address decides; if none answers, a start that is known
+    /// to be gone stays gone.
+    pub(crate) fn may_become_current(&self, upstream_start: &str, listening: Option<&str>) -> bool {
+        match listening {
+            Some(listening) => listening == upstream_start,
             None => !self.gone.iter().any(|gone| gone == upstream_start),
         }
     }
 
-    /// Another start is the current one from now on.
+    /// Makes another start the current one.
     pub(crate) fn set_current(&mut self, upstream_start: &str) {
         if let Some(before) = self.current.replace(upstream_start.to_owned()) {
             self.gone.push_back(before);
         }
-        self.followed += 1;
+        self.start_count += 1;
         self.started_unix_ms = None;
-        if self.gone.len() > GONE_LIMIT {
+        if self.gone.len() > MAX_GONE_STARTS {
             self.gone.pop_front();
         }
         self.gone.retain(|gone| gone != upstream_start);
@@ -119,7 +118,7 @@
         self.has_left = false;
     }
 
-    /// The current start takes no more work.
+    /// Records that the current start accepts no more calls.
     pub(crate) fn mark_left(&mut self) {
         self.has_left = true;
     }
--- a/crates/hemlocktack-node/src/upstream/any_client.rs
+++ b/crates/hemlocktack-node/src/upstream/upstream_client.rs
@@ -1,4 +1,4 @@
-//! The client for the upstream beside the node, whatever it speaks.
+//! Client for the node's upstream, independent of its interface.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -6,47 +6,47 @@
 use bytes::Bytes;
 use hemlocktack_interface::{Health, Interface};
 
-use super::client::OwnClient;
+use super::client::NativeClient;
 use super::interface_client::InterfaceClient;
 use super::{UpstreamOutcome, UpstreamRequest};
 
 /// Client for one upstream.
 pub(crate) enum UpstreamClient {
-    Own(OwnClient),
+    Native(NativeClient),
     Interface(InterfaceClient),
 }
 
 impl UpstreamClient {
-    /// For the product's own interface, or the one given.
+    /// Creates a client for the given interface, or for the native one.
     pub(crate) fn new(interface: Option<Interface>) -> reqwest::Result<Self> {
         Ok(match interface {
             Some(interface) => Self::Interface(InterfaceClient::new(interface.upstreams)),
-            None => Self::Own(OwnClient::new()?),
+            None => Self::Native(NativeClient::new()?),
         })
     }
 
-    /// Sends the call and reads the answer to its declared end.
+    /// Sends the call and reads the complete answer.
     pub(crate) async fn send(&self, send: UpstreamRequest<'_>) -> UpstreamOutcome {
         match self {
-            Self::Own(client) => client.send(&send).await,
+            Self::Native(client) => client.send(&send).await,
             Self::Interface(client) => client.send(&send).await,
         }
     }
 
-    /// Body of a small page of the upstream's own; see [`OwnClient::read`].
+    /// Reads a small resource of the upstream; see [`NativeClient::read`].
     pub(crate) async fn read(
         &self,
         url: &str,
         timeout: Duration,
         limit_bytes: usize,
     ) -> Option<Bytes> {
-        let Self::Own(client) = self else {
+        let Self::Native(client) = self else {
             return None;
         };
         client.read(url, timeout, limit_bytes).await
     }
 
-    /// Asks the upstream who it is; `None` where its interface has no such question.
+    /// Queries the upstream's health; `None` if its interface has no health check.
     pub(crate) async fn ask_health(
         &self,
         address: SocketAddr,
