--- a/crates/hemlocktack-fleet/tests/at_most_once/arrivals.rs
+++ b/crates/hemlocktack-fleet/tests/at_most_once/arrivals.rs
@@ -24,10 +24,10 @@
     assert_eq!(arrivals.counts().duplicates, 2);
 }
 
-/// Guards against an answer that is dropped as it is given: of the settled calls the
-/// one with the smallest id is forgotten, and that is the one that took longest.
+/// Guards against forgetting the settled call with the smallest id first: that is often the one
+/// that took longest, whose answer would be dropped as soon as it is recorded.
 #[test]
-fn the_answer_of_a_call_that_outlasts_many_later_ones_is_kept() {
+fn the_answer_to_a_call_that_outlasts_many_later_ones_is_kept() {
     let limits = ArrivalLimits::default();
     let mut arrivals = Arrivals::new(limits);
     let sender = peer("dum-dum-1");
@@ -44,10 +44,10 @@
     );
 }
 
-// A link is lost with a call still in the receiver's buffer. The sender asks over
-// a new link, hears "never arrived" and tells `not_run`; then the buffer is read.
+// A link is lost while a call is still in the receiver's buffer. The sender asks over a new link,
+// is told "never arrived" and reports `not_run`; then the receiver reads the buffer.
 #[test]
-fn a_call_told_never_arrived_is_fenced() {
+fn a_call_reported_as_never_arrived_is_fenced() {
     let mut arrivals = Arrivals::new(ArrivalLimits::default());
     let sender = peer("dum-dum-1");
     assert_eq!(arrivals.resolve(&sender, 3), Resolution::NeverArrived);
@@ -56,10 +56,10 @@
     assert_eq!(arrivals.counts().fenced, 1);
 }
 
-// The receiver drops old records to stay within its memory, and is then asked
-// about a call that ran: "never arrived" would make its sender run it again.
+// The receiver drops old records to stay within its memory limit, and is then asked about a call
+// that ran. The reply "never arrived" would make the sender run it again.
 #[test]
-fn what_was_forgotten_is_never_told_as_never_arrived() {
+fn a_forgotten_call_is_never_reported_as_never_arrived() {
     let limits = ArrivalLimits {
         settled_per_sender: 4,
         senders: 2,
--- a/crates/hemlocktack-fleet/tests/at_most_once/children.rs
+++ b/crates/hemlocktack-fleet/tests/at_most_once/children.rs
@@ -11,8 +11,8 @@
     })
 }
 
-// An upstream sends its deeper payment again after a timeout, and by now the node
-// would choose another home. Two homes would each start the payment.
+// An upstream re-sends a payment as a child call after a timeout, when the node would choose
+// another home. With two homes the payment would run twice.
 #[test]
 fn one_child_keeps_its_home() {
     let mut children = ChildCalls::for_ticketed_parent(1);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn refuses_what_could_run_twice() {
+fn refuses_calls_that_could_run_twice() {
     let service = ServiceName::from(SERVICE);
     let refused = |mut children: ChildCalls, key: Option<&[u8]>| {
         children
@@ -69,19 +69,19 @@
         assert_eq!(refused(children, key), expected);
     }
     let text = ticket(1).encode();
-    let passed_along = ChildCalls::for_idempotent_parent().ticket_for(
+    let passed_ticket = ChildCalls::for_idempotent_parent().ticket_for(
         &keys(),
         &service,
         Some(text.as_bytes()),
         || None,
     );
-    assert_eq!(passed_along, Ok(ticket(1)));
+    assert_eq!(passed_ticket, Ok(ticket(1)));
 }
 
-// A caller's ticket outlived the fleet key and is passed along. Taken for a key
-// of the upstream's own, it would get a second ticket, and run a second time.
+// An upstream passes on a caller's ticket that was signed with a fleet key that has been removed.
+// If it were used as an idempotency key, the call would get a second ticket and run a second time.
 #[test]
-fn a_ticket_that_no_valid_key_signed_is_no_key() {
+fn a_ticket_that_no_valid_key_signed_is_no_idempotency_key() {
     let service = ServiceName::from(SERVICE);
     let foreign = FleetKeys::new(OTHER_KEY, None).unwrap();
     let text = Ticket::issue(&foreign, service.clone(), peer("dum-dum-1"), 1, 1)
--- a/crates/hemlocktack-fleet/tests/at_most_once/decoders.rs
+++ b/crates/hemlocktack-fleet/tests/at_most_once/decoders.rs
@@ -1,4 +1,4 @@
-//! Bytes from outside: no panic, and memory within the limits.
+//! Decoding of untrusted bytes: no panic, and memory within the limits.
 
 use hemlocktack_fleet::handover::{HandoverLimits, IncomingHandovers};
 use hemlocktack_fleet::tickets::{StartDecision, Ticket};
@@ -31,7 +31,7 @@
     #[test]
     fn handover_from_any_bytes(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
         if let Ok(frame) = Handover::decode(&bytes[..]) {
-            take(frame);
+            check_handover(frame);
         }
     }
 
@@ -51,22 +51,22 @@
                 };
                 frame.entries.push(entry);
             }
-            take(frame);
+            check_handover(frame);
         }
     }
 }
 
-fn take(frame: Handover) {
+fn check_handover(frame: Handover) {
     let limits = HandoverLimits {
         tables: 1,
         entries: 4,
         table_bytes: 512,
     };
-    let mut receiving = IncomingHandovers::new(limits);
+    let mut handovers = IncomingHandovers::new(limits);
     let mut table = table();
     for _ in 0..2 {
-        let _ = receiving.handle_frame(&mut table, &home(), frame.clone());
-        assert!(receiving.entry_count() <= limits.entries);
+        let _ = handovers.handle_frame(&mut table, &home(), frame.clone());
+        assert!(handovers.entry_count() <= limits.entries);
     }
     table.assert_consistent();
     assert_eq!(table.start(&ticket(1), FINGERPRINT), StartDecision::Run);
--- a/crates/hemlocktack-fleet/tests/at_most_once/handover.rs
+++ b/crates/hemlocktack-fleet/tests/at_most_once/handover.rs
@@ -12,7 +12,7 @@
 struct Successor {
     name: NodeIncarnation,
     table: TicketTable,
-    receiving: IncomingHandovers,
+    incoming: IncomingHandovers,
 }
 
 impl Successor {
@@ -20,28 +20,28 @@
         Successor {
             name: peer(node_id),
             table: TicketTable::new(node_id, 9, TableLimits::default()),
-            receiving: IncomingHandovers::new(HandoverLimits::default()),
+            incoming: IncomingHandovers::new(HandoverLimits::default()),
         }
     }
 
-    fn take(&mut self, frames: Vec<Handover>) -> Vec<HandoverAccepted> {
-        let mut take = |frame| {
-            self.receiving
+    fn receive(&mut self, frames: Vec<Handover>) -> Vec<HandoverAccepted> {
+        let mut receive = |frame| {
+            self.incoming
                 .handle_frame(&mut self.table, &home(), frame)
                 .unwrap()
         };
-        frames.into_iter().map(&mut take).collect()
+        frames.into_iter().map(&mut receive).collect()
     }
 }
 
 fn last_progress(
-    leaving: &mut OutgoingHandover,
+    outgoing: &mut OutgoingHandover,
     from: &NodeIncarnation,
     replies: &[HandoverAccepted],
 ) -> HandoverProgress {
     let mut progress = HandoverProgress::Waiting;
     for reply in replies {
-        let next = leaving.handle_accepted(from, reply);
+        let next = outgoing.handle_accepted(from, reply);
         if next != HandoverProgress::Waiting {
             progress = next;
         }
@@ -49,7 +49,7 @@
     progress
 }
 
-fn home_with_every_end() -> TicketTable {
+fn home_with_every_outcome() -> TicketTable {
     let mut table = table();
     for nonce in 1..=4 {
         table.start(&ticket(nonce), FINGERPRINT);
@@ -62,25 +62,25 @@
 }
 
 #[test]
-fn the_successor_knows_every_end() {
-    let mut home_table = home_with_every_end();
-    let mut leaving = OutgoingHandover::begin(&mut home_table);
+fn the_successor_knows_every_outcome() {
+    let mut home_table = home_with_every_outcome();
+    let mut outgoing = OutgoingHandover::begin(&mut home_table);
     assert!(home_table.mark_started(4).is_err());
     let unknown = StartDecision::Refused(CallFailure::Unknown(Reason::Draining));
     assert_eq!(home_table.start(&ticket(9), FINGERPRINT), unknown);
 
     let mut successor = Successor::new("dum-dum-1");
-    let offered = leaving.offer(&successor.name);
-    let replies = successor.take(offered);
+    let offered = outgoing.offer(&successor.name);
+    let replies = successor.receive(offered);
     let gone = StartDecision::Refused(CallFailure::Unknown(Reason::HomeGone));
     assert_eq!(successor.table.start(&ticket(9), FINGERPRINT), gone);
-    let HandoverProgress::Commit(commit) = last_progress(&mut leaving, &successor.name, &replies)
+    let HandoverProgress::Commit(commit) = last_progress(&mut outgoing, &successor.name, &replies)
     else {
         panic!("not committed");
     };
-    let replies = successor.take(commit);
+    let replies = successor.receive(commit);
     assert_eq!(
-        last_progress(&mut leaving, &successor.name, &replies),
+        last_progress(&mut outgoing, &successor.name, &replies),
         HandoverProgress::Finished
     );
 
@@ -115,32 +115,32 @@
     successor.table.assert_consistent();
 }
 
-// A first successor accepts and its acceptance is late; the home goes to a second
-// one. If acceptance alone made a home, both would start the same tickets.
+// The acceptance of a first successor is late, so the home offers its tickets to a second one. If
+// the acceptance alone made a node the home, both would run the same tickets.
 #[test]
-fn an_orphaned_half_handover_leaves_one_home() {
-    let mut leaving = OutgoingHandover::begin(&mut home_with_every_end());
+fn an_abandoned_offer_leaves_one_home() {
+    let mut outgoing = OutgoingHandover::begin(&mut home_with_every_outcome());
     let mut first = Successor::new("dum-dum-1");
     let mut second = Successor::new("howrah-1");
-    let late_replies = first.take(leaving.offer(&first.name));
-    assert!(leaving.abandon());
-    let replies = second.take(leaving.offer(&second.name));
+    let late_replies = first.receive(outgoing.offer(&first.name));
+    assert!(outgoing.abandon());
+    let replies = second.receive(outgoing.offer(&second.name));
     assert_eq!(
-        last_progress(&mut leaving, &first.name, &late_replies),
+        last_progress(&mut outgoing, &first.name, &late_replies),
         HandoverProgress::Waiting
     );
-    let HandoverProgress::Commit(commit) = last_progress(&mut leaving, &second.name, &replies)
+    let HandoverProgress::Commit(commit) = last_progress(&mut outgoing, &second.name, &replies)
     else {
         panic!("not committed");
     };
-    assert!(!leaving.abandon());
-    assert_eq!(leaving.offer(&first.name), []);
-    assert_eq!(leaving.successor(), Some(&second.name));
-    // The commit's acceptance is lost with the link, and it is sent again.
-    second.take(commit);
-    let replies = second.take(leaving.offer(&second.name));
+    assert!(!outgoing.abandon());
+    assert_eq!(outgoing.offer(&first.name), []);
+    assert_eq!(outgoing.successor(), Some(&second.name));
+    // The reply to the commit is lost with the link, and the commit is sent again.
+    second.receive(commit);
+    let replies = second.receive(outgoing.offer(&second.name));
     assert_eq!(
-        last_progress(&mut leaving, &second.name, &replies),
+        last_progress(&mut outgoing, &second.name, &replies),
         HandoverProgress::Finished
     );
     assert_eq!(
@@ -152,9 +152,9 @@
 }
 
 #[test]
-fn refuses_what_does_not_fit() {
-    let mut leaving = OutgoingHandover::begin(&mut home_with_every_end());
-    let parts = leaving.offer(&peer("dum-dum-1"));
+fn refuses_invalid_frames() {
+    let mut outgoing = OutgoingHandover::begin(&mut home_with_every_outcome());
+    let parts = outgoing.offer(&peer("dum-dum-1"));
     let part = &parts[0];
     let mut bad_nonce = part.clone();
     bad_nonce.entries[0].nonce = "short".into();
@@ -173,17 +173,17 @@
     let mut successor = Successor::new("dum-dum-1");
     for (frame, expected) in cases {
         let refused = successor
-            .receiving
+            .incoming
             .handle_frame(&mut successor.table, &home(), frame);
         assert_eq!(refused, Err(expected));
     }
-    // Its last part was lost, and the commit came all the same.
+    // The last part was lost, but the commit arrives.
     let mut successor = Successor::new("dum-dum-1");
     let first_part = Handover {
         last: false,
         ..part.clone()
     };
-    let accepted = successor.take(vec![first_part]);
+    let accepted = successor.receive(vec![first_part]);
     assert!(!accepted[0].complete);
     let commit = Handover {
         committed: true,
@@ -191,7 +191,7 @@
         ..part.clone()
     };
     let refused = successor
-        .receiving
+        .incoming
         .handle_frame(&mut successor.table, &home(), commit);
     assert_eq!(refused, Err(HandoverError::NotComplete));
     let limits = HandoverLimits {
@@ -203,16 +203,16 @@
     assert_eq!(refused, Err(HandoverError::TooLarge));
     successor.table.stop_accepting();
     let refused = successor
-        .receiving
+        .incoming
         .handle_frame(&mut successor.table, &home(), part.clone());
     assert_eq!(refused, Err(HandoverError::Stopping));
-    assert_eq!(successor.receiving.entry_count(), 0);
+    assert_eq!(successor.incoming.entry_count(), 0);
 }
 
-// The link is lost between two parts, and the successor sees the last part
-// before the first. Taken as complete, the table would lack bookings that ran.
+// The link is lost between two parts, and the successor receives the last part before the first. If
+// the table counted as complete, it would lack bookings that have run.
 #[test]
-fn a_large_table_comes_whole_or_not_at_all() {
+fn a_large_table_is_transferred_completely_or_not_at_all() {
     let mut home_table = table();
     let large_answer = Arc::new(Answer {
         body: vec![7; 150 << 10].into(),
@@ -225,14 +225,14 @@
             .record_answer(nonce, large_answer.clone())
             .unwrap();
     }
-    let mut leaving = OutgoingHandover::begin(&mut home_table);
+    let mut outgoing = OutgoingHandover::begin(&mut home_table);
     let mut successor = Successor::new("dum-dum-1");
-    let parts = leaving.offer(&successor.name);
+    let parts = outgoing.offer(&successor.name);
     assert!(parts.len() > 1);
     let reversed: Vec<_> = parts.iter().rev().cloned().collect();
     assert!(
         successor
-            .take(reversed)
+            .receive(reversed)
             .iter()
             .all(|accepted| !accepted.complete)
     );
@@ -240,12 +240,12 @@
         .iter()
         .flat_map(|part| [part.clone(), part.clone()])
         .collect();
-    let replies = successor.take(twice);
-    let HandoverProgress::Commit(commit) = last_progress(&mut leaving, &successor.name, &replies)
+    let replies = successor.receive(twice);
+    let HandoverProgress::Commit(commit) = last_progress(&mut outgoing, &successor.name, &replies)
     else {
         panic!("not committed");
     };
-    successor.take(commit);
+    successor.receive(commit);
     for nonce in 1..=4 {
         let start = successor.table.start(&ticket(nonce), FINGERPRINT);
         assert_eq!(
@@ -256,21 +256,20 @@
     }
 }
 
-// The first successor refuses, or lost a part on the way. A commit after any
-// reply at all would bind the tickets to a node that does not have them, and
-// nobody else could be tried.
+// The first successor did not get all parts, and then refuses. If any reply led to a commit, the
+// tickets would be bound to a node that does not have them, and no other successor could be tried.
 #[test]
 fn only_a_complete_table_is_committed() {
-    let mut leaving = OutgoingHandover::begin(&mut home_with_every_end());
+    let mut outgoing = OutgoingHandover::begin(&mut home_with_every_outcome());
     let mut first = Successor::new("dum-dum-1");
-    let parts = leaving.offer(&first.name);
+    let parts = outgoing.offer(&first.name);
     let cut = parts.iter().map(|part| Handover {
         last: false,
         ..part.clone()
     });
-    let replies = first.take(cut.collect());
+    let replies = first.receive(cut.collect());
     assert_eq!(
-        last_progress(&mut leaving, &first.name, &replies),
+        last_progress(&mut outgoing, &first.name, &replies),
         HandoverProgress::Waiting
     );
     let refusal = HandoverAccepted {
@@ -278,21 +277,21 @@
         ..replies[0].clone()
     };
     assert_eq!(
-        leaving.handle_accepted(&first.name, &refusal),
+        outgoing.handle_accepted(&first.name, &refusal),
         HandoverProgress::Refused
     );
-    assert!(leaving.abandon());
+    assert!(outgoing.abandon());
     let mut second = Successor::new("howrah-1");
-    let replies = second.take(leaving.offer(&second.name));
-    let progress = last_progress(&mut leaving, &second.name, &replies);
+    let replies = second.receive(outgoing.offer(&second.name));
+    let progress = last_progress(&mut outgoing, &second.name, &replies);
     assert!(
         matches!(progress, HandoverProgress::Commit(_)),
         "{progress:?}"
     );
 }
 
-// A home hands over more records than a new epoch of the successor holds. If
-// taking them over counted as new records, it would expire them at once.
+// A home hands over more records than an epoch of the successor holds. If adopted records counted
+// as new ones, they would expire at once.
 #[test]
 fn a_large_table_does_not_expire_while_it_is_adopted() {
     let mut home_table = table();
@@ -301,7 +300,7 @@
         home_table.mark_started(nonce).unwrap();
         home_table.record_answer(nonce, answer("booked")).unwrap();
     }
-    let mut leaving = OutgoingHandover::begin(&mut home_table);
+    let mut outgoing = OutgoingHandover::begin(&mut home_table);
     let mut successor = Successor::new("dum-dum-1");
     let limits = TableLimits {
         records_per_epoch: 10,
@@ -309,12 +308,12 @@
         ..TableLimits::default()
     };
     successor.table = TicketTable::new("dum-dum-1", 9, limits);
-    let replies = successor.take(leaving.offer(&successor.name));
-    let HandoverProgress::Commit(commit) = last_progress(&mut leaving, &successor.name, &replies)
+    let replies = successor.receive(outgoing.offer(&successor.name));
+    let HandoverProgress::Commit(commit) = last_progress(&mut outgoing, &successor.name, &replies)
     else {
         panic!("not committed");
     };
-    successor.take(commit);
+    successor.receive(commit);
     for nonce in 1..=100 {
         let start = successor.table.start(&ticket(nonce), FINGERPRINT);
         assert_eq!(
@@ -326,10 +325,10 @@
     successor.table.assert_consistent();
 }
 
-// Operators let homes keep more answers than a successor takes in. The oldest
-// stay behind; that their requests ran does not.
+// Homes are configured to keep more answers than a successor accepts. The oldest answers are left
+// out, but the successor still knows that their requests ran.
 #[test]
-fn a_table_with_more_answers_than_fit_goes_over_without_the_oldest() {
+fn a_table_with_too_many_answers_is_transferred_without_the_oldest() {
     let limits = TableLimits {
         kept_answer_bytes: 64 << 20,
         ..TableLimits::default()
@@ -346,15 +345,15 @@
             .record_answer(nonce, large_answer.clone())
             .unwrap();
     }
-    let mut leaving = OutgoingHandover::begin(&mut home_table);
+    let mut outgoing = OutgoingHandover::begin(&mut home_table);
     let mut successor = Successor::new("dum-dum-1");
     successor.table = TicketTable::new("dum-dum-1", 9, limits);
-    let replies = successor.take(leaving.offer(&successor.name));
-    let HandoverProgress::Commit(commit) = last_progress(&mut leaving, &successor.name, &replies)
+    let replies = successor.receive(outgoing.offer(&successor.name));
+    let HandoverProgress::Commit(commit) = last_progress(&mut outgoing, &successor.name, &replies)
     else {
         panic!("not committed");
     };
-    successor.take(commit);
+    successor.receive(commit);
     assert_eq!(
         successor.table.start(&ticket(1), FINGERPRINT),
         StartDecision::AnswerNotKept
@@ -364,13 +363,13 @@
 }
 
 #[test]
-fn offers_of_nodes_that_have_gone_are_forgotten() {
-    let mut leaving = OutgoingHandover::begin(&mut home_with_every_end());
+fn offers_of_nodes_that_are_gone_are_discarded() {
+    let mut outgoing = OutgoingHandover::begin(&mut home_with_every_outcome());
     let mut successor = Successor::new("dum-dum-1");
-    successor.take(leaving.offer(&successor.name));
-    assert!(successor.receiving.entry_count() > 0);
-    successor.receiving.retain_offers_of(|from| *from == home());
-    assert!(successor.receiving.entry_count() > 0);
-    successor.receiving.retain_offers_of(|from| *from != home());
-    assert_eq!(successor.receiving.entry_count(), 0);
+    successor.receive(outgoing.offer(&successor.name));
+    assert!(successor.incoming.entry_count() > 0);
+    successor.incoming.retain_offers_of(|from| *from == home());
+    assert!(successor.incoming.entry_count() > 0);
+    successor.incoming.retain_offers_of(|from| *from != home());
+    assert_eq!(successor.incoming.entry_count(), 0);
 }
--- a/crates/hemlocktack-fleet/tests/at_most_once/keys.rs
+++ b/crates/hemlocktack-fleet/tests/at_most_once/keys.rs
@@ -3,7 +3,7 @@
 use crate::{KEY, OTHER_KEY, keys};
 
 #[test]
-fn verifies_its_own_macs_and_no_others() {
+fn verifies_only_its_own_macs() {
     let mac = keys().sign(MacPurpose::Gossip, &[b"ab", b"c"]);
     let other = FleetKeys::new(OTHER_KEY, None).unwrap();
     let parts: &[&[u8]] = &[b"ab", b"c"];
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_key_can_be_changed_without_a_stop() {
+fn a_key_can_be_rotated_without_downtime() {
     let old = keys();
     let accepts_new = FleetKeys::new(KEY, Some(OTHER_KEY)).unwrap();
     let signs_new = FleetKeys::new(OTHER_KEY, Some(KEY)).unwrap();
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn is_never_printed() {
+fn debug_output_hides_the_keys() {
     let printed = format!("{:?}", FleetKeys::new(KEY, Some(OTHER_KEY)).unwrap());
     assert_eq!(printed, "FleetKeys { accepted_count: 2, .. }");
     assert_eq!(
--- a/crates/hemlocktack-fleet/tests/at_most_once/main.rs
+++ b/crates/hemlocktack-fleet/tests/at_most_once/main.rs
@@ -1,4 +1,4 @@
-//! At most once: keys, tickets, the home's table, lost links, handover.
+//! At-most-once execution: keys, tickets, the home's ticket table, lost links and handover.
 
 #![allow(clippy::unwrap_used)]
 
@@ -25,7 +25,7 @@
 const SERVICE: &str = "bookings";
 const FINGERPRINT: u64 = 0xf1;
 
-// The same cases, and so the same verdict, in every run.
+// Every run has the same cases, and therefore the same result.
 fn fixed_seed() -> ProptestConfig {
     ProptestConfig {
         rng_seed: RngSeed::Fixed(5),
--- a/crates/hemlocktack-fleet/tests/at_most_once/properties.rs
+++ b/crates/hemlocktack-fleet/tests/at_most_once/properties.rs
@@ -1,4 +1,5 @@
-//! Any order of steps, against what must hold at the least.
+//! Property tests: invariants of the ticket table and of arrivals under arbitrary sequences of
+//! steps.
 
 use std::collections::{HashMap, HashSet};
 
@@ -14,11 +15,11 @@
     Start,
     Started,
     Delegate(u8),
-    GiveBack,
-    GiveBackFrom(u8),
+    Requeue,
+    RequeueFrom(u8),
     Refuse,
     Answer,
-    GiveUp,
+    RecordUnknown,
     AdvanceEpoch,
     StopAccepting,
 }
@@ -28,11 +29,11 @@
         8 => Just(Step::Start),
         4 => Just(Step::Started),
         4 => (0..2u8).prop_map(Step::Delegate),
-        3 => Just(Step::GiveBack),
-        3 => (0..2u8).prop_map(Step::GiveBackFrom),
+        3 => Just(Step::Requeue),
+        3 => (0..2u8).prop_map(Step::RequeueFrom),
         2 => Just(Step::Refuse),
         2 => Just(Step::Answer),
-        2 => Just(Step::GiveUp),
+        2 => Just(Step::RecordUnknown),
         1 => Just(Step::AdvanceEpoch),
         1 => Just(Step::StopAccepting),
     ]
@@ -51,8 +52,8 @@
 #[derive(Default)]
 struct Seen {
     epoch: Option<u64>,
-    let_in: bool,
-    out: bool,
+    admitted: bool,
+    may_run: bool,
     ended: bool,
 }
 
@@ -60,51 +61,52 @@
     #![proptest_config(fixed_seed())]
 
     #[test]
-    fn a_ticket_is_out_at_one_place_and_never_after_its_end(
+    fn a_ticket_runs_at_one_place_and_never_after_its_outcome(
         steps in prop::collection::vec((any_step(), 0..6u128, 1..3u64), 1..120),
     ) {
         let mut table = small_table();
         let mut seen: HashMap<u128, Seen> = HashMap::new();
         for (step, nonce, epoch) in steps {
             let seen = seen.entry(nonce).or_default();
-            // The issuer signs a nonce once, with one epoch.
+            // A nonce is issued only once, with one epoch.
             let epoch = *seen.epoch.get_or_insert(epoch.min(table.current_epoch()));
             let ticket = Ticket::issue(&keys(), SERVICE.into(), home(), epoch, nonce).unwrap();
             let delegate = |number: u8| peer(["dum-dum-1", "howrah-1"][usize::from(number)]);
             match step {
                 Step::Start => {
                     if table.start(&ticket, FINGERPRINT) == StartDecision::Run {
-                        prop_assert!(!seen.let_in, "let in twice");
-                        seen.let_in = true;
+                        prop_assert!(!seen.admitted, "admitted twice");
+                        seen.admitted = true;
                     }
                 }
                 Step::Started | Step::Delegate(_) => {
-                    let went_out = match step {
+                    let recorded = match step {
                         Step::Delegate(number) => table.delegate(nonce, delegate(number)),
                         _ => table.mark_started(nonce),
                     };
-                    if went_out.is_ok() {
-                        prop_assert!(seen.let_in && !seen.out && !seen.ended, "out twice");
-                        seen.out = true;
+                    if recorded.is_ok() {
+
+                        prop_assert!(seen.admitted && !seen.may_run && !seen.ended, "ran twice");
+                        seen.may_run = true;
                     }
                 }
-                Step::GiveBack => seen.out &= table.requeue(nonce).is_err(),
-                Step::GiveBackFrom(number) => {
-                    seen.out &= table.requeue_from(nonce, &delegate(number)).is_err();
+                Step::Requeue => seen.may_run &= table.requeue(nonce).is_err(),
+                Step::RequeueFrom(number) => {
+                    seen.may_run &= table.requeue_from(nonce, &delegate(number)).is_err();
                 }
                 Step::Refuse => {
                     if table.refuse(nonce, Reason::Shed).is_ok() {
-                        prop_assert!(!seen.out, "refused what may run");
+                        prop_assert!(!seen.may_run, "refused a request that may run");
                         seen.ended = true;
                     }
                 }
-                Step::Answer | Step::GiveUp => {
+                Step::Answer | Step::RecordUnknown => {
                     let ended = match step {
                         Step::Answer => table.record_answer(nonce, answer("booked")),
                         _ => table.record_unknown(nonce, Reason::Timeout),
                     };
                     if ended.is_ok() {
-                        prop_assert!(seen.out && !seen.ended, "ended what was not out");
+                        prop_assert!(seen.may_run && !seen.ended, "ended before its start");
                         seen.ended = true;
                     }
                 }
@@ -116,7 +118,7 @@
     }
 
     #[test]
-    fn a_call_is_new_once_and_never_after_it_was_told_as_never_arrived(
+    fn a_call_is_new_once_and_never_after_it_was_reported_as_never_arrived(
         steps in prop::collection::vec((0..3u8, 0..4usize, 0..14u64), 1..200),
     ) {
         let limits = ArrivalLimits {
@@ -127,19 +129,19 @@
         };
         let mut arrivals = Arrivals::new(limits);
         let senders = ["a", "b", "c", "d"].map(peer);
-        let mut treated = HashSet::new();
+        let mut processed = HashSet::new();
         let mut fenced = HashSet::new();
         for (step, sender, call_id) in steps {
             let key = (sender, call_id);
             let sender = &senders[sender];
             match step {
                 0 if arrivals.record_arrival(sender, call_id) == Arrival::New => {
-                    prop_assert!(treated.insert(key), "new twice");
+                    prop_assert!(processed.insert(key), "new twice");
                     prop_assert!(!fenced.contains(&key), "new after it was fenced");
                 }
                 1 => arrivals.finish(sender, call_id, Some(answer("booked"))),
                 2 if arrivals.resolve(sender, call_id) == Resolution::NeverArrived => {
-                    prop_assert!(!treated.contains(&key), "told as never arrived");
+                    prop_assert!(!processed.contains(&key), "reported as never arrived");
                     fenced.insert(key);
                 }
                 _ => {}
--- a/crates/hemlocktack-fleet/tests/at_most_once/table.rs
+++ b/crates/hemlocktack-fleet/tests/at_most_once/table.rs
@@ -19,8 +19,8 @@
     Ticket::issue(&keys(), SERVICE.into(), home, epoch, nonce).unwrap()
 }
 
-// A family's booking is sent, its answer is late, and the caller sends it again
-// through another node: both sends must come to the one run and its answer.
+// The answer to a booking is late, and the caller sends it again through another node. Both sends
+// must get the answer of a single run.
 #[test]
 fn resends_join_and_get_the_one_answer() {
     let mut table = table();
@@ -47,11 +47,11 @@
     table.assert_consistent();
 }
 
-// The caller is told `not_run`, and an earlier send of the same ticket arrives
-// after that, held up in another node. It must find the fence and not a free
-// ticket, or the caller has been told a falsehood.
+// The caller is told `not_run`, and then an earlier send of the same ticket arrives that was
+// delayed in another node. It must find the ticket fenced; otherwise the request would run after
+// all.
 #[test]
-fn a_ticket_told_not_run_never_starts_later() {
+fn a_ticket_reported_as_not_run_never_starts_later() {
     let mut table = table();
     assert_eq!(table.start(&ticket(1), FINGERPRINT), StartDecision::Run);
     table.refuse(1, Reason::Shed).unwrap();
@@ -73,10 +73,10 @@
     );
 }
 
-// The home is busy and delegates; the delegate refuses; the home delegates to a
-// second one. A late word of the first must not free the ticket once more.
+// A busy home delegates a call, the delegate refuses it, and the home delegates it to a second
+// node. A late message from the first delegate must not return the ticket to the queue again.
 #[test]
-fn only_the_recorded_delegate_gives_back() {
+fn only_the_recorded_delegate_can_return_a_ticket() {
     let mut table = table();
     let (first, second) = (peer("dum-dum-1"), peer("howrah-1"));
     table.start(&ticket(1), FINGERPRINT);
@@ -92,11 +92,11 @@
 }
 
 #[test]
-fn refuses_tickets_of_other_starts_and_epochs() {
+fn refuses_tickets_of_other_incarnations_and_epochs() {
     let mut table = table();
-    let earlier_start = NodeIncarnation::new("salt-lake-1", 6);
+    let earlier_incarnation = NodeIncarnation::new("salt-lake-1", 6);
     assert_eq!(
-        table.start(&issue(earlier_start, 1, 1), FINGERPRINT),
+        table.start(&issue(earlier_incarnation, 1, 1), FINGERPRINT),
         unknown(Reason::HomeGone)
     );
     assert_eq!(
@@ -113,8 +113,8 @@
     );
 }
 
-// A ticket comes back after the home has dropped its record to stay within its
-// memory. Without the epoch in the ticket the home would take it for a new one.
+// A ticket is re-sent after the home has dropped its record to stay within its memory limit.
+// Without the epoch in the ticket, the home would treat it as a new one.
 #[test]
 fn memory_is_bounded_and_expired_tickets_do_not_start() {
     let limits = TableLimits {
@@ -158,9 +158,9 @@
     assert_eq!(table.in_flight_count(), 0);
 }
 
-// A stopping home tells `not_run`, and an earlier send arrives later still.
+// A stopping home reports `not_run`, and an earlier send of the same ticket may still arrive later.
 #[test]
-fn a_stopping_home_fences_new_tickets_and_ends_those_in_flight() {
+fn a_stopping_home_fences_new_tickets_and_finishes_those_in_flight() {
     let mut table = table();
     table.start(&ticket(1), FINGERPRINT);
     table.stop_accepting();
@@ -177,8 +177,8 @@
     );
 }
 
-// A caller sends a second booking with the key of its first. The first one's
-// answer would tell the family of an appointment that is not theirs.
+// A caller sends a second booking with the ticket of its first. The answer to the first would
+// report the wrong appointment.
 #[test]
 fn a_ticket_is_bound_to_its_first_request() {
     let mut table = table();
@@ -200,10 +200,10 @@
     );
 }
 
-// Operators halve the memory for answers while some are kept. The oldest go at
-// once; their requests are still known to have run, and never run again.
+// The budget for kept answers is halved while some are kept. The oldest are evicted at once, but
+// their requests are still known to have run and never run again.
 #[test]
-fn a_smaller_budget_drops_answers_and_keeps_what_ran() {
+fn a_smaller_budget_drops_answers_but_keeps_records() {
     let mut table = table();
     for nonce in 1..=2 {
         assert_eq!(table.start(&ticket(nonce), FINGERPRINT), StartDecision::Run);
--- a/crates/hemlocktack-fleet/tests/at_most_once/ticket.rs
+++ b/crates/hemlocktack-fleet/tests/at_most_once/ticket.rs
@@ -6,7 +6,7 @@
 use crate::{KEY, OTHER_KEY, SERVICE, home, keys, peer, ticket};
 
 #[test]
-fn comes_back_from_its_text() {
+fn text_form_round_trips() {
     let ticket = ticket(0xab);
     let text = ticket.encode();
     insta::assert_snapshot!(text, @"ht1~bookings~salt-lake-1~0000000000000007~1~000000000000000000000000000000ab~d2e66c85a41441ec52d0c52b12fb557f");
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn refuses_what_the_fleet_did_not_issue() {
+fn refuses_texts_that_the_fleet_did_not_issue() {
     let text = ticket(1).encode();
     let foreign = FleetKeys::new(OTHER_KEY, None).unwrap();
     let foreign = Ticket::issue(&foreign, SERVICE.into(), home(), 1, 1)
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn its_home_is_the_last_successor() {
+fn the_home_is_the_last_successor() {
     let (second, third) = (peer("dum-dum-1"), peer("howrah-1"));
     let successor_of = |home_asked: &NodeIncarnation| match home_asked {
         asked if *asked == home() => Some(second.clone()),
--- a/crates/hemlocktack-fleet/tests/configuration/any_documents.rs
+++ b/crates/hemlocktack-fleet/tests/configuration/any_documents.rs
@@ -1,6 +1,6 @@
-//! Documents of any generation from everywhere, readable or not.
+//! Documents of any generation from any source, readable or not.
 //!
-//! `PROPTEST_CASES=1000000` runs as many cases.
+//! The environment variable `PROPTEST_CASES=1000000` runs that many cases.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -14,13 +14,13 @@
 
 use crate::{document, older_version, peers, rng, unreadable};
 
-/// Actions that one event may lead to.
+/// Maximum number of actions that one event may cause.
 const ACTION_LIMIT: usize = 4;
 
 #[derive(Clone, Debug)]
 enum Event {
-    Heard(Generation),
-    StoredHere(ConfigurationDocument),
+    PeerAnnounced(Generation),
+    StoredLocally(ConfigurationDocument),
     PlatformAnswered(Option<ConfigurationDocument>),
     PlatformFailed,
     RevisionGone,
@@ -54,8 +54,8 @@
 fn event() -> impl Strategy<Value = Event> {
     let maybe = || proptest::option::of(any_document());
     prop_oneof![
-        generation().prop_map(Event::Heard),
-        any_document().prop_map(Event::StoredHere),
+        generation().prop_map(Event::PeerAnnounced),
+        any_document().prop_map(Event::StoredLocally),
         maybe().prop_map(Event::PlatformAnswered),
         (generation(), maybe())
             .prop_map(|(generation, document)| { Event::PeerAnswered(generation, document) }),
@@ -74,8 +74,8 @@
     view: &PeerView,
 ) -> Vec<ConfigurationAction> {
     match event {
-        Event::Heard(generation) => in_force.peer_announced("a", generation),
-        Event::StoredHere(document) => return in_force.stored_locally(document),
+        Event::PeerAnnounced(generation) => in_force.peer_announced("a", generation),
+        Event::StoredLocally(document) => return in_force.stored_locally(document),
         Event::PlatformAnswered(document) => {
             return in_force.platform_answered(now, document, view, &mut rng());
         }
@@ -92,16 +92,16 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// A store that lost its mind and peers of other versions: what is in force can be
-    /// read and never goes back, and each document that cannot be is told once.
+    /// With a faulty store and peers of other versions, the active document is always readable and
+    /// never goes back to a lower generation, and each unreadable document is reported once.
     #[test]
-    fn the_last_good_document_stays_in_force(
+    fn the_last_readable_document_stays_active(
         events in vec((event(), 0..3_000_u64), 1..24), is_watcher in any::<bool>(),
     ) {
         let mut now = Instant::now();
         let view = PeerView { is_watcher, ..peers(&["a", "b"]) };
         let mut in_force = older_version(now);
-        let mut told = BTreeSet::new();
+        let mut reported = BTreeSet::new();
         let mut before = 0;
         for (event, pause_ms) in events {
             let mut actions = handle(&mut in_force, event, now, &view);
@@ -117,7 +117,7 @@
                         prop_assert_eq!(document.generation, before);
                     }
                     ConfigurationAction::ReportUnreadable { generation } => {
-                        prop_assert!(told.insert(generation), "told twice: {generation}");
+                        prop_assert!(reported.insert(generation), "reported twice: {generation}");
                     }
                     _ => {}
                 }
--- a/crates/hemlocktack-fleet/tests/configuration/main.rs
+++ b/crates/hemlocktack-fleet/tests/configuration/main.rs
@@ -1,4 +1,4 @@
-//! The configuration in force on one node.
+//! The active configuration of one node.
 
 #![allow(clippy::unwrap_used)]
 
@@ -32,8 +32,8 @@
     StdRng::seed_from_u64(1)
 }
 
-/// An operator was told that 5 is in force. A slow peer's answer with 4 comes
-/// afterwards; were it taken, the change would be undone on this node.
+/// An operator was told that generation 5 is active, and then a slow peer answers with generation
+/// 4. Applying it would revert the change on this node.
 #[test]
 fn a_late_answer_does_not_revert() {
     let now = Instant::now();
@@ -44,9 +44,9 @@
     assert_eq!(in_force.generation(), 5);
 }
 
-/// A node starts while the platform is out. One of its peers was cut off and
-/// has an old generation: asked alone, it would let the node take calls with
-/// it. The node asks three and takes the highest.
+/// A node starts while the platform is unavailable. One of its peers was cut off and has an old
+/// generation; if only that peer were asked, the node would take calls with it. The node asks three
+/// and uses the highest.
 #[test]
 fn a_start_without_the_platform_asks_several_peers() {
     let mut now = Instant::now();
@@ -70,8 +70,8 @@
     assert_eq!((asked, in_force.generation()), (3, 9));
 }
 
-/// After a long outage the platform must not be met by the whole fleet at once:
-/// while it fails, calls come ever more seldom, and at no common time.
+/// After a long outage the whole fleet must not call the platform at once: the node backs off while
+/// calls fail, with randomised delays.
 #[test]
 fn calls_to_a_failing_platform_become_rare() {
     let start = Instant::now();
@@ -89,9 +89,9 @@
     assert!((10..25).contains(&calls), "{calls} calls in 300 s");
 }
 
-/// Whatever the size, as many nodes as wanted take themselves for watchers.
+/// In a data centre of any size, exactly the wanted number of nodes consider themselves watchers.
 #[test]
-fn a_few_nodes_watch_whatever_the_size() {
+fn the_number_of_watchers_does_not_depend_on_the_size() {
     for size in [1usize, 2, 3, 10, 94, 560] {
         let names: Vec<String> = (0..size).map(|number| format!("node-{number}")).collect();
         let watches = |own: &&String| {
@@ -117,9 +117,9 @@
     ConfigurationState::new(settings, now)
 }
 
-/// An older binary starts while the stored document has a newer field. Were it
-/// ready, it would refuse every call that others send it, or decide by a
-/// configuration that was replaced. It waits for a document that it can read.
+/// An older binary starts while the stored document has a newer field. If it became ready, it would
+/// refuse every call or use a configuration that was replaced. It must wait for a document that it
+/// can read.
 #[test]
 fn an_unreadable_document_makes_no_node_ready() {
     let now = Instant::now();
@@ -138,10 +138,10 @@
     assert_eq!(in_force.generation(), 6);
 }
 
-/// A running node hears of a document that it cannot read, from everywhere and
-/// repeatedly. It goes on with the one before, and asks peers for it no more.
+/// A running node repeatedly gets a document that it cannot read, from several sources. It keeps
+/// the previous one and does not pull the unreadable one from peers.
 #[test]
-fn an_unreadable_document_leaves_the_older_in_force() {
+fn an_unreadable_document_leaves_the_older_one_active() {
     let now = Instant::now();
     let view = PeerView::default();
     let mut in_force = older_version(now);
@@ -160,11 +160,10 @@
     assert_eq!(in_force.current(), Some(&document(3)));
 }
 
-/// The store forgets revisions faster than a watch follows: each watch is
-/// refused at once. The node reads, pauses and watches again, and leaves its
-/// budget of platform calls to others.
+/// The store discards revisions faster than watches follow, so each watch is refused at once. The
+/// node must read, wait and watch again without using up its budget of platform calls.
 #[test]
-fn refused_watches_are_not_repeated_without_a_pause() {
+fn refused_watches_are_repeated_with_a_delay() {
     let start = Instant::now();
     let mut in_force = ConfigurationState::new(ConfigurationSettings::default(), start);
     let view = PeerView {
--- a/crates/hemlocktack-fleet/tests/drain/main.rs
+++ b/crates/hemlocktack-fleet/tests/drain/main.rs
@@ -1,4 +1,4 @@
-//! The life of a node and its upstream.
+//! Lifecycle of a node and its upstream.
 
 #![allow(clippy::unwrap_used)]
 
@@ -20,29 +20,29 @@
 };
 
 fn ready(now: Instant, settings: DrainSettings) -> NodeLifecycle {
-    let mut life = NodeLifecycle::new(settings, now);
-    life.configuration_caught_up();
-    life.announce(now, WARM);
-    life
+    let mut lifecycle = NodeLifecycle::new(settings, now);
+    lifecycle.configuration_caught_up();
+    lifecycle.announce(now, WARM);
+    lifecycle
 }
 
-/// A planned stop with two calls in flight: the node refuses and says so at
-/// once, waits for both, stays until others have heard, hands over, leaves.
+/// A planned stop with two calls in flight: the node refuses new calls and publishes the drain at
+/// once, waits for both calls and for the minimum drain time, hands over its tickets and leaves.
 #[test]
 fn a_stop_goes_step_by_step() {
     let now = Instant::now();
-    let mut life = ready(now, DrainSettings::default());
-    let mut steps = format!("drain: {:?}\n", life.drain(now));
+    let mut lifecycle = ready(now, DrainSettings::default());
+    let mut steps = format!("drain: {:?}\n", lifecycle.drain(now));
     for (after_s, in_flight) in [(1, 2), (4, 1), (5, 0)] {
-        let actions = life.check_stop(now + Duration::from_secs(after_s), in_flight);
+        let actions = lifecycle.check_stop(now + Duration::from_secs(after_s), in_flight);
         writeln!(steps, "{after_s} s, {in_flight} in flight: {actions:?}").unwrap();
     }
-    writeln!(steps, "handed over: {:?}", life.handed_over()).unwrap();
+    writeln!(steps, "handed over: {:?}", lifecycle.handed_over()).unwrap();
     insta::assert_snapshot!(steps);
 }
 
-/// A call never ends. The operator's limit ends the wait, and says how many
-/// calls it cuts off.
+/// A call never ends. The operators' limit ends the wait, and the number of aborted calls is
+/// reported.
 #[test]
 fn the_hard_limit_is_reported() {
     let now = Instant::now();
@@ -50,73 +50,73 @@
         hard_limit: Some(Duration::from_secs(30)),
         ..DrainSettings::default()
     };
-    let mut life = ready(now, settings);
-    life.drain(now);
-    assert_eq!(life.check_stop(now + Duration::from_secs(29), 1), []);
-    let actions = life.check_stop(now + Duration::from_secs(30), 1);
+    let mut lifecycle = ready(now, settings);
+    lifecycle.drain(now);
+    assert_eq!(lifecycle.check_stop(now + Duration::from_secs(29), 1), []);
+    let actions = lifecycle.check_stop(now + Duration::from_secs(30), 1);
     let overrun = LifecycleAction::ReportOverrun { in_flight: 1 };
     assert_eq!(actions, [overrun, LifecycleAction::HandOver]);
 }
 
-/// An upstream drains; the last renewal of its announcement comes after that.
-/// Were it taken for a return, new work would go to an upstream about to stop.
+/// An upstream drains, and the last renewal of its announcement arrives afterwards. If it counted
+/// as a return, new calls would be sent to an upstream that is about to stop.
 #[test]
 fn a_late_renewal_does_not_end_a_drain() {
     let now = Instant::now();
-    let mut life = ready(now, DrainSettings::default());
-    life.drain_upstream();
-    life.announce(now, WARM);
-    assert_eq!(life.upstream(), UpstreamState::Draining);
+    let mut lifecycle = ready(now, DrainSettings::default());
+    lifecycle.drain_upstream();
+    lifecycle.announce(now, WARM);
+    assert_eq!(lifecycle.upstream(), UpstreamState::Draining);
     let cold = Announcement {
         is_cold: true,
         ..WARM
     };
-    life.announce(now, cold);
-    assert_eq!(life.upstream(), UpstreamState::Cold);
+    lifecycle.announce(now, cold);
+    assert_eq!(lifecycle.upstream(), UpstreamState::Cold);
 }
 
-/// An upstream drains and is replaced at its address; the next start names
-/// itself, and is first heard of when it is no longer cold. Taken for a late
-/// renewal, it would get nothing for as long as it lives, and where all of a
-/// service are replaced so, every caller is refused.
+/// An upstream drains and is replaced by a new process at its address. The new process identifies
+/// itself by another name, but is no longer cold when its first announcement arrives. If that
+/// counted as a late renewal, the process would never get calls; and if all upstreams of a service
+/// are replaced like this, every caller is refused.
 #[test]
-fn another_start_at_the_same_address_ends_a_drain() {
+fn a_new_process_at_the_same_address_ends_a_drain() {
     let now = Instant::now();
-    let mut life = ready(now, DrainSettings::default());
-    life.drain_upstream();
+    let mut lifecycle = ready(now, DrainSettings::default());
+    lifecycle.drain_upstream();
     let next = Announcement {
         is_other_start: true,
         ..WARM
     };
-    life.announce(now, next);
-    assert_eq!(life.upstream(), UpstreamState::Ready);
-    assert!(life.accepts_new_calls());
+    lifecycle.announce(now, next);
+    assert_eq!(lifecycle.upstream(), UpstreamState::Ready);
+    assert!(lifecycle.accepts_new_calls());
 }
 
-/// An upstream that no longer renews gets no new work.
+/// An upstream that no longer renews its announcement gets no new calls.
 #[test]
-fn an_announcement_lapses() {
+fn an_announcement_expires() {
     let now = Instant::now();
-    let mut life = ready(now, DrainSettings::default());
-    assert!(life.accepts_new_calls());
-    life.check_upstream(now + Duration::from_secs(3));
-    assert!(!life.accepts_new_calls());
+    let mut lifecycle = ready(now, DrainSettings::default());
+    assert!(lifecycle.accepts_new_calls());
+    lifecycle.check_upstream(now + Duration::from_secs(3));
+    assert!(!lifecycle.accepts_new_calls());
 }
 
-/// What happens to an upstream, in order.
+/// Event of an upstream.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Renew,
     Drain,
-    /// Nothing for longer than an announcement lasts; then the tick runs.
+    /// No renewal until the announcement has expired and the node has checked it.
     Silence,
 }
 
-/// An upstream says that it is leaving, and its announcement lapses before or
-/// after: it was stalled, or the node was. Its next renewal is no return. Were
-/// it taken for one, callers' new work would be cut off by the upstream's end.
+/// An upstream drains, and its announcement expires before or after that because the upstream or
+/// the node was paused. Its next renewal must not count as a return; otherwise new calls would be
+/// aborted when the upstream stops.
 #[test]
-fn a_leaving_upstream_does_not_return_over_a_lapse() {
+fn a_leaving_upstream_does_not_return_after_its_announcement_expired() {
     use Step::{Drain, Renew, Silence};
     let tables: [&[Step]; 5] = [
         &[Silence, Drain, Renew],
@@ -127,29 +127,29 @@
     ];
     for steps in tables {
         let mut now = Instant::now();
-        let mut life = ready(now, DrainSettings::default());
+        let mut lifecycle = ready(now, DrainSettings::default());
         let mut is_leaving = false;
         for step in steps {
             match step {
-                Renew => drop(life.announce(now, WARM)),
-                Drain => drop(life.drain_upstream()),
+                Renew => drop(lifecycle.announce(now, WARM)),
+                Drain => drop(lifecycle.drain_upstream()),
                 Silence => {
                     now += Duration::from_secs(4);
-                    life.check_upstream(now);
+                    lifecycle.check_upstream(now);
                 }
             }
             is_leaving |= matches!(step, Drain);
-            let takes = is_leaving && life.accepts_new_calls();
+            let takes = is_leaving && lifecycle.accepts_new_calls();
             assert!(!takes, "{steps:?} at {step:?}");
         }
-        assert_eq!(life.upstream(), UpstreamState::Draining, "{steps:?}");
+        assert_eq!(lifecycle.upstream(), UpstreamState::Draining, "{steps:?}");
         let returned = Announcement {
             address: OTHER_ADDRESS,
             ..WARM
         };
-        life.announce(now, returned);
-        assert_eq!(life.upstream(), UpstreamState::Cold, "{steps:?}");
-        life.announce(now, WARM);
-        assert!(life.accepts_new_calls(), "{steps:?}");
+        lifecycle.announce(now, returned);
+        assert_eq!(lifecycle.upstream(), UpstreamState::Cold, "{steps:?}");
+        lifecycle.announce(now, WARM);
+        assert!(lifecycle.accepts_new_calls(), "{steps:?}");
     }
 }
--- a/crates/hemlocktack-fleet/tests/fleet_runs.rs
+++ b/crates/hemlocktack-fleet/tests/fleet_runs.rs
@@ -1,6 +1,5 @@
-//! Fixed seeds of the randomised runs of membership, configuration and drain.
-//! Longer runs: `cargo run --release -p hemlocktack-fleet --example fleet_runs
-//! -- --seeds 10000`.
+//! Randomised runs of membership, configuration and drain with fixed seeds. Longer runs: `cargo run
+//! --release -p hemlocktack-fleet --example fleet_runs -- --seeds 10000`.
 
 #![allow(clippy::unwrap_used, dead_code)]
 
@@ -29,28 +28,34 @@
 
 const STEPS: u64 = 60;
 
-/// Seeds that failed once, with what they found.
+/// Seeds that failed once, with the fault that each of them found.
 const FAILED_SEEDS: [(u64, &str); 9] = [
-    (1, "two nodes corrected each other without a pause"),
-    (50, "a woken node placed calls on an upstream that had left"),
+    (
+        1,
+        "two nodes sent each other corrections in an endless loop",
+    ),
+    (50, "a resumed node sent calls to an upstream that had left"),
     (
         197,
-        "a woken node read the table from members that were gone",
+        "a resumed node tried to read the table from members that were gone",
     ),
     (
         272,
-        "a starting node was held to what only serving ones promise",
+        "the check applied a guarantee of ready nodes to a starting node",
+    ),
+    (420, "no node was available to report that another had left"),
+    (
+        594,
+        "after a network partition dead members were retried too seldom",
     ),
-    (420, "nobody was there to tell of a node that had left"),
-    (594, "after a cut the dead were tried too seldom"),
     (
         1034,
-        "after a cut a node had to wait for its turn to be tried",
+        "after a network partition a node waited too long for its retry",
     ),
-    (1372, "a joining node took over a suspected member as sound"),
+    (1372, "a joining node considered a suspected member healthy"),
     (
         5755,
-        "a new start at the place of a left node was found by nobody",
+        "no node found a new incarnation at the address of a node that had left",
     ),
 ];
 
@@ -58,18 +63,18 @@
 fn seeds_that_failed_once_hold() {
     for (seed, found) in FAILED_SEEDS {
         let run = run::run(world::Settings::default(), seed, STEPS);
-        let broken = run.violation.map(|violation| violation.rule);
-        assert_eq!(broken, None, "seed {seed}: {found}");
+        let violated = run.violation.map(|violation| violation.rule);
+        assert_eq!(violated, None, "seed {seed}: {found}");
     }
 }
 
-/// Without this a run could pass because it cannot fail. Safeguards that are
-/// not here are not noticed by so few runs: see docs/MEASUREMENTS-fleet-runs.md.
-/// `tombstones` has a case of its own in the tests of membership.
+/// Guards against runs that cannot fail: without any one of these safeguards, some run must report
+/// a violation. The safeguards that are not listed need more runs to be detected, see
+/// docs/MEASUREMENTS-fleet-runs.md; `tombstones` has its own test in the membership tests.
 #[test]
-fn safeguards_left_out_are_noticed() {
+fn disabled_safeguards_are_detected() {
     const SEEDS: u64 = 40;
-    let noticed = [
+    let detected = [
         "refutation",
         "dead-retry",
         "anti-entropy",
@@ -83,33 +88,37 @@
         "wait-for-calls",
         "late-renewal",
     ];
-    for name in noticed {
+    for name in detected {
         let settings = safeguards::settings(Some(name)).unwrap();
-        let breaks = |seed| run::run(settings.clone(), seed, STEPS).violation.is_some();
-        assert!((1..=SEEDS).any(breaks), "{name}");
+        let is_violated = |seed| run::run(settings.clone(), seed, STEPS).violation.is_some();
+        assert!((1..=SEEDS).any(is_violated), "{name}");
     }
 }
 
-/// One node is killed; then an upstream drains, and no datagram is lost. Those
-/// told at once were the first of the table, so two nodes of another data
-/// centre were never among them, and probed nobody but each other: 3 s later
-/// one still places calls there (which are refused at the draining side).
+/// One node is killed, then an upstream drains, and no datagram is lost. Urgent updates used to be
+/// sent to the first members of the table. Two nodes of another data centre were never among them
+/// and probed only each other, so that one still sent calls to the drained upstream 3 s later.
+/// Those calls are refused by the draining node.
 #[test]
 fn a_drain_reaches_every_view_without_loss() {
     const SEED: u64 = 7623;
     let run = run::run(world::Settings::default(), SEED, STEPS);
-    let broken = run.violation.map(|violation| violation.rule);
-    assert_eq!(broken, None);
+    let violated = run.violation.map(|violation| violation.rule);
+    assert_eq!(violated, None);
 }
 
-/// A node starts anew between cuts while two others leave. What it reads of the
-/// fleet comes from a node that had not heard: seconds after all faults have
-/// ended it still places calls on one that left (nobody answers there, and the
-/// calls move on).
+/// A node restarts between network partitions while two others leave, and reads the table from a
+/// node that does not know of it yet. Seconds after the last fault it still sends calls to one that
+/// has left; nobody answers them, and they are sent to other nodes.
 #[test]
-fn a_node_started_between_cuts_learns_who_left() {
+fn a_node_started_between_partitions_learns_who_left() {
     const SEEDS: [u64; 2] = [2505, 8708];
     let violation = |seed| run::run(world::Settings::default(), seed, STEPS).violation;
-    let broken: Vec<_> = SEEDS.into_iter().filter_map(violation).collect();
-    assert!(broken.is_empty(), "{} of {}", broken.len(), SEEDS.len());
+    let violations: Vec<_> = SEEDS.into_iter().filter_map(violation).collect();
+    assert!(
+        violations.is_empty(),
+        "{} of {}",
+        violations.len(),
+        SEEDS.len()
+    );
 }
--- a/crates/hemlocktack-fleet/tests/membership/addresses.rs
+++ b/crates/hemlocktack-fleet/tests/membership/addresses.rs
@@ -1,4 +1,4 @@
-//! A member whose address another node has taken.
+//! A member that is gone, whose address another node now uses.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -6,7 +6,7 @@
 use hemlocktack_fleet::membership::{Membership, MembershipAction};
 use hemlocktack_protocol::{Gossip, IndirectProbe, NodeState, ProbeAck, gossip};
 
-use crate::support::{address, node, record, rng, tell};
+use crate::support::{address, node, receive_records, record, rng};
 
 const HELPER: u16 = 0;
 const GONE: u16 = 1;
@@ -22,7 +22,7 @@
     }
 }
 
-/// The probe that an action sends, and where to.
+/// Returns the recipient and sequence number of the probe that the actions send, if any.
 fn probe_in(actions: &[MembershipAction]) -> Option<(SocketAddr, u64)> {
     actions.iter().find_map(|action| match action {
         MembershipAction::Send { to, gossip } => match &gossip.body {
@@ -40,18 +40,18 @@
     })
 }
 
-/// Asks the helper to probe a member, lets this node answer at that member's
-/// address, and says whether the helper vouches for the member.
-fn is_vouched_for(answers: u16) -> bool {
+/// Asks a helper to probe a member, lets node `answers` send the ack from that member's address,
+/// and returns whether the helper relays it.
+fn is_ack_relayed(answers: u16) -> bool {
     let now = Instant::now();
     let mut helper = node(HELPER, now);
-    tell(&mut helper, now, vec![record(GONE, 1), record(ASKER, 1)]);
-    let asked = IndirectProbe {
+    receive_records(&mut helper, now, vec![record(GONE, 1), record(ASKER, 1)]);
+    let request = IndirectProbe {
         sequence: 40,
         target_node_id: record(GONE, 1).node_id,
     };
-    let asked = from(ASKER, gossip::Body::IndirectProbe(asked));
-    let actions = helper.receive(now, address(ASKER), asked, &mut rng());
+    let request = from(ASKER, gossip::Body::IndirectProbe(request));
+    let actions = helper.receive(now, address(ASKER), request, &mut rng());
     let (to, sequence) = probe_in(&actions).expect("the helper probes the member");
     assert_eq!(to, address(GONE));
     let ack = ProbeAck {
@@ -62,36 +62,37 @@
     has_ack(&helper.receive(now, address(GONE), ack, &mut rng()))
 }
 
-/// Guards against a member that is gone and never suspected: others vouch for
-/// whoever answers at its address, and calls are placed on it for ever.
+/// Guards against a member that is gone but never suspected, because helpers relay the acks of
+/// another node at its address. Calls would be sent to it forever.
 #[test]
-fn who_answers_at_a_members_address_does_not_vouch_for_it() {
-    assert!(is_vouched_for(GONE));
-    assert!(!is_vouched_for(SUCCESSOR));
+fn an_ack_from_another_node_at_the_address_is_not_relayed() {
+    assert!(is_ack_relayed(GONE));
+    assert!(!is_ack_relayed(SUCCESSOR));
 }
 
-/// Answers each probe that goes to the gone member's address as the node that is
-/// there now, and each probe of the others as themselves, asked ones too.
+/// Delivers each datagram to the node that uses the recipient's address, and recursively the
+/// datagrams that it sends in reply. Datagrams to the gone member reach the node that now uses its
+/// address.
 fn answer(fleet: &mut [Membership], number: u16, actions: Vec<MembershipAction>, now: Instant) {
     for action in actions {
         let MembershipAction::Send { to, gossip } = action else {
             continue;
         };
-        let behind = fleet
+        let recipient = fleet
             .iter()
             .position(|member| member.own().gossip_address == to.to_string());
-        let Some(behind) = behind else { continue };
-        let heard = fleet[behind].receive(now, address(number), *gossip, &mut rng());
-        let behind = fleet[behind].own().gossip_address.clone();
-        let port = behind.parse::<SocketAddr>().expect("an address").port();
+        let Some(recipient) = recipient else { continue };
+        let heard = fleet[recipient].receive(now, address(number), *gossip, &mut rng());
+        let recipient = fleet[recipient].own().gossip_address.clone();
+        let port = recipient.parse::<SocketAddr>().expect("an address").port();
         answer(fleet, port - address(0).port(), heard, now);
     }
 }
 
-/// Guards against the same in a whole fleet: of four members one is gone, and a
-/// node of another name runs at its address and answers all that comes there.
+/// Guards against the same fault in a whole fleet: one of four members is gone, and a node with
+/// another id runs at its address and answers all probes sent there.
 #[test]
-fn a_member_whose_address_another_took_is_found_gone() {
+fn a_member_whose_address_was_reused_is_declared_dead() {
     let start = Instant::now();
     let mut successor = record(SUCCESSOR, 1);
     successor.gossip_address = address(GONE).to_string();
@@ -111,7 +112,7 @@
     for member in &mut fleet {
         let own = member.own().node_id.clone();
         let others = known.iter().filter(|record| record.node_id != own);
-        tell(member, start, others.cloned().collect());
+        receive_records(member, start, others.cloned().collect());
     }
     for tenth in 0..300 {
         let now = start + Duration::from_millis(100) * tenth;
--- a/crates/hemlocktack-fleet/tests/membership/datagrams.rs
+++ b/crates/hemlocktack-fleet/tests/membership/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams: bounded, proved, and never trusted before that.
+//! Datagrams: their size limit, authentication and decoding.
 
 use std::time::{Duration, Instant};
 
@@ -10,12 +10,11 @@
 use proptest::prelude::*;
 use prost::Message;
 
-use crate::support::{address, config, news, node, record, rng, tell};
+use crate::support::{address, config, gossip_with, node, receive_records, record, rng};
 
 const MAC: [u8; 32] = [7; 32];
 
-/// A datagram over the MTU is cut into pieces by the network and lost as a
-/// whole when one of them is.
+/// A datagram over the MTU is fragmented by the network and lost entirely if one fragment is lost.
 #[test]
 fn datagrams_stay_within_their_limit_in_a_large_fleet() {
     let settings = MembershipSettings::default();
@@ -23,7 +22,7 @@
     let mut membership = node(0, now);
     for chunk in (1..560u16).collect::<Vec<_>>().chunks(20) {
         let records = chunk.iter().map(|&number| record(number, 3)).collect();
-        tell(&mut membership, now, records);
+        receive_records(&mut membership, now, records);
     }
     let mut actions = Vec::new();
     for _ in 0..100 {
@@ -37,7 +36,7 @@
     for body in bodies {
         let asked = Gossip {
             body: Some(body),
-            ..news(Vec::new())
+            ..gossip_with(Vec::new())
         };
         actions.append(&mut membership.receive(now, address(900), asked, &mut rng()));
     }
@@ -53,9 +52,11 @@
 }
 
 #[test]
-fn faulty_datagrams_are_refused() {
-    let sealed = seal_datagram(&news(vec![record(1, 2)]), |_| Bytes::copy_from_slice(&MAC));
-    let is_right = |_: &[u8], mac: &[u8]| mac == MAC;
+fn invalid_datagrams_are_refused() {
+    let sealed = seal_datagram(&gossip_with(vec![record(1, 2)]), |_| {
+        Bytes::copy_from_slice(&MAC)
+    });
+    let is_valid_mac = |_: &[u8], mac: &[u8]| mac == MAC;
     let mut forged = sealed.to_vec();
     *forged.last_mut().unwrap() ^= 1;
     let mut junk = vec![0xff; 20];
@@ -68,7 +69,7 @@
         (Bytes::new(), Some(DatagramError::TooShort)),
     ];
     for (datagram, error) in cases {
-        let opened = open_datagram(datagram, MAC.len(), is_right);
+        let opened = open_datagram(datagram, MAC.len(), is_valid_mac);
         assert_eq!(opened.err(), error);
     }
 }
@@ -76,9 +77,9 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Whatever a proved sender says, no panic, and the answers are bounded.
+    /// Any bytes from an authenticated sender cause no panic and a bounded number of replies.
     #[test]
-    fn any_bytes_are_taken(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn any_bytes_are_handled(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let now = Instant::now();
         let mut membership = node(0, now);
         let mut datagram = bytes;
--- a/crates/hemlocktack-fleet/tests/membership/main.rs
+++ b/crates/hemlocktack-fleet/tests/membership/main.rs
@@ -4,9 +4,9 @@
 
 mod addresses;
 mod datagrams;
+mod malformed_datagrams;
 mod merging;
-mod nearly_right;
 mod replacement;
 mod restart;
 mod support;
-mod urgent_news;
+mod urgent_updates;
--- a/crates/hemlocktack-fleet/tests/membership/nearly_right.rs
+++ b/crates/hemlocktack-fleet/tests/membership/malformed_datagrams.rs
@@ -1,7 +1,7 @@
-//! Datagrams of proved senders that say what no node should: numbers at the edge,
-//! names of any length, records of this node, bodies that nobody asked for.
+//! Datagrams of authenticated senders with content that no correct node sends: extreme numbers, ids
+//! of any length, records of this node and unrequested bodies.
 //!
-//! `PROPTEST_CASES=1000000` runs as many cases.
+//! The environment variable `PROPTEST_CASES=1000000` runs that many cases.
 
 use std::time::{Duration, Instant};
 
@@ -19,18 +19,18 @@
 use proptest::sample::{Index, select};
 use prost::Message;
 
-use crate::support::{address, config, news, node, record, rng, tell};
+use crate::support::{address, config, gossip_with, node, receive_records, record, rng};
 
 const MAC: [u8; 32] = [7; 32];
-/// Actions that one datagram or one tick may lead to.
+/// Maximum number of actions that one datagram or tick may cause.
 const ACTION_LIMIT: usize = 64;
 
-/// Small ones meet what is known, large ones are at the edge.
+/// Small numbers, which collide with known ones, and extreme ones.
 fn number() -> impl Strategy<Value = u64> {
     prop_oneof![0..4_u64, any::<u64>(), select(vec![u64::MAX - 1, u64::MAX])]
 }
 
-/// Mostly of this node and of two others.
+/// Mostly the ids of this node and of two others.
 fn node_id() -> impl Strategy<Value = String> {
     prop_oneof![
         4 => (0..3_u16).prop_map(|number| record(number, 1).node_id),
@@ -131,7 +131,8 @@
         )
 }
 
-/// A sealed message, seldom with a byte changed or its end cut off before that.
+/// A message with a valid MAC; sometimes a byte was changed or the end was cut off before it was
+/// signed.
 fn datagram() -> impl Strategy<Value = Bytes> {
     let byte = proptest::option::weighted(0.2, (any::<Index>(), any::<u8>()));
     let cut = proptest::option::weighted(0.1, any::<Index>());
@@ -149,7 +150,7 @@
     })
 }
 
-/// Datagrams that go out, each within its limit.
+/// Checks that the number of actions and the size of each sent datagram are within their limits.
 fn check(actions: &[MembershipAction]) -> Result<(), TestCaseError> {
     prop_assert!(actions.len() <= ACTION_LIMIT, "{} actions", actions.len());
     let settings = MembershipSettings::default();
@@ -176,10 +177,10 @@
     check(&membership.receive(now, address(900), gossip, &mut rng()))
 }
 
-/// A record of this node with the highest number there is, from a memory fault: a
-/// node that counts on from it begins at 0 and is older than its own past for all.
+/// A record of this node has the highest possible number, for example after a memory fault. If the
+/// node's next number overflowed to 0, all others would consider its records outdated.
 #[test]
-fn a_record_of_this_node_at_the_last_number_does_not_set_it_back() {
+fn a_record_of_this_node_with_the_highest_number_causes_no_overflow() {
     let now = Instant::now();
     let cases = [
         (u64::MAX, 1, 1),
@@ -195,15 +196,15 @@
             version,
             ..record(0, incarnation)
         };
-        tell(&mut membership, now, vec![heard]);
+        receive_records(&mut membership, now, vec![heard]);
         let own = membership.own();
         assert!(own.start_order >= before.start_order, "{own:?}");
         assert!(own.version >= before.version, "{own:?}");
     }
 }
 
-/// A name that no node can have, in a question: an answer that repeats it is cut
-/// into pieces by the network.
+/// A request contains an id that is longer than any valid one. A reply that repeats it would be
+/// fragmented by the network.
 #[test]
 fn a_datagram_with_an_id_over_the_limit_is_refused() {
     let name = "a".repeat(NODE_ID_LIMIT_BYTES + 1);
@@ -212,13 +213,13 @@
     };
     let asked = Gossip {
         body: Some(gossip::Body::SyncPull(pull)),
-        ..news(Vec::new())
+        ..gossip_with(Vec::new())
     };
     let from_it = Gossip {
         from_node_id: name.clone(),
-        ..news(Vec::new())
+        ..gossip_with(Vec::new())
     };
-    let of_it = news(vec![Member {
+    let of_it = gossip_with(vec![Member {
         node_id: name,
         ..record(1, 1)
     }]);
@@ -232,11 +233,10 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// A node of another version, or one whose memory fails, sends what no node
-    /// should. One that ends on it takes its upstream from the fleet, and the
-    /// next one is told the same.
+    /// A node of another version or with faulty memory sends invalid content. A node that crashes
+    /// on it takes its upstream out of the fleet, and the next node gets the same content.
     #[test]
-    fn nearly_right_datagrams_are_taken_and_answers_are_bounded(
+    fn malformed_datagrams_are_handled_and_replies_are_bounded(
         datagrams in vec((datagram(), 0..3_000_u64), 1..8),
     ) {
         let mut now = Instant::now();
--- a/crates/hemlocktack-fleet/tests/membership/merging.rs
+++ b/crates/hemlocktack-fleet/tests/membership/merging.rs
@@ -1,11 +1,11 @@
-//! News arrives in any order, twice, or late; the table is the same.
+//! Records that arrive in any order, twice or late lead to the same table.
 
 use std::time::Instant;
 
 use hemlocktack_protocol::{Member, NodeState};
 use proptest::prelude::*;
 
-use crate::support::{accusation, node, record, tell};
+use crate::support::{accusation, node, receive_records, record};
 
 fn any_record() -> impl Strategy<Value = Member> {
     (1..4u16, 1..4u64, 1..5u64, 0..4u8).prop_map(|(number, incarnation, version, kind)| {
@@ -17,7 +17,7 @@
         };
         match kind {
             3 => accusation(number, incarnation, version),
-            // One version of one start says one thing.
+            // Each version of an incarnation has one content only.
             _ => Member {
                 version: version * 3 + u64::from(kind),
                 state: state.into(),
@@ -27,23 +27,23 @@
     })
 }
 
-fn owners_words(records: &[Member]) -> Vec<(String, u64, u64)> {
+fn published_versions(records: &[Member]) -> Vec<(String, u64, u64)> {
     let now = Instant::now();
     let mut membership = node(0, now);
     for record in records {
-        tell(&mut membership, now, vec![record.clone()]);
+        receive_records(&mut membership, now, vec![record.clone()]);
     }
     let peers = membership.peers();
-    let own_word = |peer: &hemlocktack_fleet::membership::Peer| {
+    let version = |peer: &hemlocktack_fleet::membership::Peer| {
         let member = &peer.member;
         (member.node_id.clone(), member.incarnation, member.version)
     };
-    peers.iter().map(own_word).collect()
+    peers.iter().map(version).collect()
 }
 
 proptest! {
     #[test]
-    fn order_of_news_does_not_matter(
+    fn order_of_records_does_not_matter(
         records in prop::collection::vec(any_record(), 0..20),
         seed in any::<u64>(),
     ) {
@@ -52,20 +52,20 @@
         let mut shuffled = own.clone();
         shuffled.sort_by_key(|record| record.version.wrapping_mul(seed | 1));
         shuffled.extend(own.iter().take(3).cloned());
-        prop_assert_eq!(owners_words(&own), owners_words(&shuffled));
+        prop_assert_eq!(published_versions(&own), published_versions(&shuffled));
     }
 
     #[test]
-    fn accusations_never_hide_a_later_word(records in prop::collection::vec(any_record(), 0..30)) {
+    fn accusations_never_hide_a_later_record(records in prop::collection::vec(any_record(), 0..30)) {
         let now = Instant::now();
         let mut membership = node(0, now);
         for record in &records {
-            tell(&mut membership, now, vec![record.clone()]);
+            receive_records(&mut membership, now, vec![record.clone()]);
         }
         for peer in membership.peers() {
             let refuted = Member { version: 100, ..record(1, peer.member.incarnation) };
             let refuted = Member { node_id: peer.member.node_id.clone(), ..refuted };
-            tell(&mut membership, now, vec![refuted]);
+            receive_records(&mut membership, now, vec![refuted]);
             let state = membership.peer(&peer.member.node_id).unwrap().state;
             prop_assert_eq!(state, NodeState::Ready);
         }
--- a/crates/hemlocktack-fleet/tests/membership/replacement.rs
+++ b/crates/hemlocktack-fleet/tests/membership/replacement.rs
@@ -1,4 +1,4 @@
-//! Restarts, replacements and accusations of a node itself.
+//! Restarts, replacements, departures and accusations of nodes.
 
 use std::time::{Duration, Instant};
 
@@ -7,44 +7,43 @@
 };
 use hemlocktack_protocol::{Member, NodeState};
 
-use crate::support::{accusation, address, node, record, rng, tell};
+use crate::support::{accusation, address, node, receive_records, record, rng};
 
-/// A node is restarted. Others go on placing calls on a start that is gone if
-/// they hold on to its record; an old record that comes late must not bring it
-/// back either.
+/// A node is restarted. If others kept the record of the old incarnation, they would send calls to
+/// a process that is gone. An old record that arrives late must not revive it either.
 #[test]
-fn a_new_start_replaces_the_old_one_at_once_and_for_good() {
+fn a_new_incarnation_replaces_the_old_one_permanently() {
     let now = Instant::now();
     let mut membership = node(0, now);
-    tell(&mut membership, now, vec![record(1, 7)]);
-    tell(&mut membership, now, vec![record(1, 8)]);
+    receive_records(&mut membership, now, vec![record(1, 7)]);
+    receive_records(&mut membership, now, vec![record(1, 8)]);
     assert_eq!(membership.peer("node-001").unwrap().member.incarnation, 8);
     let late = Member {
         version: 50,
         ..record(1, 7)
     };
-    tell(&mut membership, now, vec![late]);
+    receive_records(&mut membership, now, vec![late]);
     assert_eq!(membership.peer("node-001").unwrap().member.incarnation, 8);
 }
 
-/// The clock of a new start is behind that of the one before. Its records
-/// would lose against the old ones everywhere; it ranks itself above them.
+/// The clock of a new incarnation is behind that of the previous one, so others would consider its
+/// records outdated. It must rank itself above the previous one.
 #[test]
-fn a_start_with_an_early_clock_ranks_itself_above_the_one_before() {
+fn an_incarnation_with_a_slow_clock_ranks_itself_above_the_previous_one() {
     let now = Instant::now();
     let mut membership = node(5, now);
     let before = Member {
         incarnation: 99,
         ..record(5, 1_000)
     };
-    tell(&mut membership, now, vec![before]);
+    receive_records(&mut membership, now, vec![before]);
     assert!(membership.own().start_order > 1_000);
 }
 
-/// A process is frozen; its place is taken by another one elsewhere. When it
-/// wakes it hears of it and must stop, not fight for the name.
+/// A process is paused and replaced by another one at another address. When it resumes and learns
+/// of the replacement, it must stop and not compete for the node id.
 #[test]
-fn a_woken_process_yields_to_its_replacement() {
+fn a_resumed_process_gives_way_to_its_replacement() {
     let now = Instant::now();
     let mut membership = node(5, now);
     for after_s in 0..7 {
@@ -56,19 +55,18 @@
         gossip_address: address(6).to_string(),
         ..record(5, 1_000)
     };
-    let actions = tell(&mut membership, now, vec![replacement]);
+    let actions = receive_records(&mut membership, now, vec![replacement]);
     let is_superseded =
         |action: &MembershipAction| matches!(action, MembershipAction::Superseded { by: 99 });
     assert!(actions.iter().any(is_superseded));
 }
 
-/// A member is wrongly accused: it answers with a higher version to the one
-/// that said so, at once.
+/// A node that is wrongly accused replies to the accuser at once, with a higher version.
 #[test]
-fn an_accusation_is_refuted_to_its_teller() {
+fn an_accusation_is_refuted_to_its_sender() {
     let now = Instant::now();
     let mut membership = node(0, now);
-    let actions = tell(&mut membership, now, vec![accusation(0, 1, 4)]);
+    let actions = receive_records(&mut membership, now, vec![accusation(0, 1, 4)]);
     assert_eq!(membership.own().version, 5);
     let Some(MembershipAction::Send { to, gossip }) = actions.first() else {
         panic!("no answer");
@@ -77,61 +75,60 @@
     assert_eq!(gossip.members[0].version, 5);
 }
 
-/// Another node holds a member for dead. One node with a bad network must not
-/// take it from everybody's view: it is only suspected.
+/// Another node reports a member as dead. One node with a bad network must not remove a member from
+/// every view, so the member is only suspected.
 #[test]
-fn hearsay_of_a_death_is_a_suspicion() {
+fn a_reported_death_is_only_a_suspicion() {
     let now = Instant::now();
     let mut membership = node(0, now);
-    tell(&mut membership, now, vec![record(1, 7)]);
+    receive_records(&mut membership, now, vec![record(1, 7)]);
     let dead = Member {
         state: NodeState::Dead.into(),
         ..accusation(1, 7, 1)
     };
-    tell(&mut membership, now, vec![dead]);
+    receive_records(&mut membership, now, vec![dead]);
     assert_eq!(
         membership.peer("node-001").unwrap().state,
         NodeState::Suspect
     );
 }
 
-/// A node leaves; a member that has not heard of it yet passes on that it is
-/// ready. Whoever has forgotten the leaving takes it for a new member and
-/// places calls on a node that is gone. Without the kept record it does.
+/// A node leaves, and a member that does not know it yet still disseminates its record as ready.
+/// Without the tombstone, a recipient would treat it as a new member and send calls to a node that
+/// is gone.
 #[test]
-fn a_late_word_does_not_bring_back_who_left() {
-    assert!(!is_back_after_late_word(MembershipSettings::default()));
-    let forgetful = MembershipSettings {
+fn an_old_record_does_not_revive_a_member_that_left() {
+    assert!(!is_revived_by_old_record(MembershipSettings::default()));
+    let without_tombstones = MembershipSettings {
         disabled_safeguard: Some(MembershipSafeguard::Tombstones),
         ..MembershipSettings::default()
     };
-    assert!(is_back_after_late_word(forgetful));
+    assert!(is_revived_by_old_record(without_tombstones));
 }
 
-fn is_back_after_late_word(settings: MembershipSettings) -> bool {
+fn is_revived_by_old_record(settings: MembershipSettings) -> bool {
     let mut now = Instant::now();
     let mut membership = Membership::new(settings, record(0, 1), now);
-    tell(&mut membership, now, vec![record(1, 7)]);
+    receive_records(&mut membership, now, vec![record(1, 7)]);
     let left = Member {
         version: 2,
         state: NodeState::Left.into(),
         ..record(1, 7)
     };
-    tell(&mut membership, now, vec![left]);
+    receive_records(&mut membership, now, vec![left]);
     for _ in 0..5 {
         now += Duration::from_secs(1);
         membership.tick(now, &mut rng());
     }
-    tell(&mut membership, now, vec![record(1, 7)]);
+    receive_records(&mut membership, now, vec![record(1, 7)]);
     let peer = membership.peer("node-001");
     peer.is_some_and(|peer| peer.accepts_new_calls())
 }
 
-/// A node was cut off while another left. It comes back and tells of that one
-/// as ready; nobody believes it, but it has to learn, or it goes on placing
-/// calls there.
+/// A node was cut off while a member left, and then reports that member as ready. Others ignore the
+/// outdated record, but they must correct the sender, or it continues to send calls to that member.
 #[test]
-fn who_tells_of_a_member_that_left_is_told() {
+fn the_sender_of_an_outdated_record_learns_that_the_member_left() {
     let now = Instant::now();
     let mut membership = node(0, now);
     let left = Member {
@@ -139,12 +136,12 @@
         state: NodeState::Left.into(),
         ..record(1, 7)
     };
-    tell(&mut membership, now, vec![record(1, 7)]);
-    tell(&mut membership, now, vec![left.clone()]);
-    let actions = tell(&mut membership, now, vec![record(1, 7)]);
-    let is_told = |action: &MembershipAction| match action {
+    receive_records(&mut membership, now, vec![record(1, 7)]);
+    receive_records(&mut membership, now, vec![left.clone()]);
+    let actions = receive_records(&mut membership, now, vec![record(1, 7)]);
+    let is_corrected = |action: &MembershipAction| match action {
         MembershipAction::Send { gossip, .. } => gossip.members.contains(&left),
         _ => false,
     };
-    assert!(actions.iter().any(is_told), "{actions:?}");
+    assert!(actions.iter().any(is_corrected), "{actions:?}");
 }
--- a/crates/hemlocktack-fleet/tests/membership/restart.rs
+++ b/crates/hemlocktack-fleet/tests/membership/restart.rs
@@ -1,4 +1,4 @@
-//! All nodes at once.
+//! A simultaneous restart of all nodes.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 use crate::support::{address, node, rng};
 
 const NODES: u16 = 8;
-/// A tick is a tenth of a second: within three of them everybody is known.
+/// Ticks of 100 ms within which all nodes must know each other.
 const TICKS: u32 = 3;
 const TICK: Duration = Duration::from_millis(100);
 
@@ -20,16 +20,15 @@
     gossip: Gossip,
 }
 
-/// A rack's power fails and all processes start again at the same moment, with
-/// the others' addresses from the platform. Callers are refused for want of an
-/// upstream until their node knows one; asking one address a second, that took
-/// more than a second.
+/// After a power failure all processes start at the same moment, with the others' addresses from
+/// the platform. Callers are refused until their node knows a node with an upstream; contacting one
+/// address per second took more than a second.
 #[test]
-fn nodes_that_start_together_know_each_other_at_once() {
+fn nodes_that_start_together_discover_each_other_at_once() {
     let began = Instant::now();
     let mut rng = rng();
     let mut nodes: Vec<Membership> = (0..NODES).map(|number| node(number, began)).collect();
-    let mut on_the_way = VecDeque::new();
+    let mut in_transit = VecDeque::new();
     for membership in &mut nodes {
         membership.set_seeds((0..NODES).map(address).collect());
     }
@@ -37,24 +36,24 @@
         let now = began + TICK * tick;
         for (number, membership) in (0..NODES).zip(&mut nodes) {
             let actions = membership.tick(now, &mut rng);
-            post(&mut on_the_way, address(number), actions);
+            enqueue(&mut in_transit, address(number), actions);
         }
-        while let Some(datagram) = on_the_way.pop_front() {
+        while let Some(datagram) = in_transit.pop_front() {
             let number = datagram.to.port() - address(0).port();
             let receiver = &mut nodes[usize::from(number)];
             let actions = receiver.receive(now, datagram.from, datagram.gossip, &mut rng);
-            post(&mut on_the_way, datagram.to, actions);
+            enqueue(&mut in_transit, datagram.to, actions);
         }
     }
     let known: Vec<usize> = nodes.iter().map(|node| node.peers().len()).collect();
     assert_eq!(known, [usize::from(NODES) - 1; NODES as usize]);
 }
 
-fn post(on_the_way: &mut VecDeque<Datagram>, from: SocketAddr, actions: Vec<MembershipAction>) {
+fn enqueue(in_transit: &mut VecDeque<Datagram>, from: SocketAddr, actions: Vec<MembershipAction>) {
     for action in actions {
         if let MembershipAction::Send { to, gossip } = action {
             let gossip = *gossip;
-            on_the_way.push_back(Datagram { from, to, gossip });
+            in_transit.push_back(Datagram { from, to, gossip });
         }
     }
 }
--- a/crates/hemlocktack-fleet/tests/membership/support.rs
+++ b/crates/hemlocktack-fleet/tests/membership/support.rs
@@ -1,4 +1,4 @@
-//! Nodes and records for the tests.
+//! Helpers that create nodes, records and datagrams.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -10,7 +10,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-/// The same cases in each run, as many as `PROPTEST_CASES` says, or else 256.
+/// Proptest configuration with a fixed seed; runs `PROPTEST_CASES` cases, by default 256.
 pub(crate) fn config() -> ProptestConfig {
     ProptestConfig {
         rng_seed: RngSeed::Fixed(27),
@@ -59,8 +59,8 @@
     StdRng::seed_from_u64(1)
 }
 
-/// News from node 900.
-pub(crate) fn news(members: Vec<Member>) -> Gossip {
+/// Returns a datagram of node 900 with these records.
+pub(crate) fn gossip_with(members: Vec<Member>) -> Gossip {
     Gossip {
         from_node_id: "node-900".to_owned(),
         from_incarnation: 1,
@@ -69,10 +69,10 @@
     }
 }
 
-pub(crate) fn tell(
+pub(crate) fn receive_records(
     membership: &mut Membership,
     now: Instant,
     members: Vec<Member>,
 ) -> Vec<MembershipAction> {
-    membership.receive(now, address(900), news(members), &mut rng())
+    membership.receive(now, address(900), gossip_with(members), &mut rng())
 }
--- a/crates/hemlocktack-fleet/tests/membership/urgent_news.rs
+++ b/crates/hemlocktack-fleet/tests/membership/urgent_updates.rs
@@ -1,4 +1,4 @@
-//! Who is told at once that a node leaves.
+//! Selection of the members that are notified at once that a node leaves.
 
 use std::collections::BTreeSet;
 use std::time::Instant;
@@ -9,7 +9,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-use crate::support::{address, node, record, tell};
+use crate::support::{address, node, receive_records, record};
 
 const DATA_CENTRES: [&str; 3] = ["salt-lake", "howrah", "dum-dum"];
 const NODES: u16 = 8;
@@ -23,19 +23,18 @@
     }
 }
 
-/// An upstream drains; some nodes of other data centres are never among those
-/// who are told at once, whoever tells, and go on placing calls on it until
-/// they meet somebody who knows. Each member must have a chance, about the same
-/// one: of seven others four are told, two near and one in each other data
-/// centre, so each in a quarter of the draws at least.
+/// An upstream drains. If some nodes of other data centres were never selected to be notified at
+/// once, they would send calls to it until they exchange datagrams with a node that knows. Every
+/// member must have about the same chance: four of seven others are notified, two in the own data
+/// centre and one in each other, so each in at least a quarter of the draws.
 #[test]
-fn every_member_has_its_chance_to_be_told_at_once() {
-    let mut told = [0; NODES as usize];
+fn every_member_may_be_notified_at_once() {
+    let mut notified = [0; NODES as usize];
     for seed in 0..DRAWS {
         let mut rng = StdRng::seed_from_u64(seed);
         let now = Instant::now();
         let mut membership = node(0, now);
-        tell(&mut membership, now, (1..NODES).map(member).collect());
+        receive_records(&mut membership, now, (1..NODES).map(member).collect());
         let draining = PublishedState {
             state: NodeState::Ready,
             upstream: UpstreamState::Draining,
@@ -52,13 +51,13 @@
         assert_eq!(targets.len(), 4);
         for (centre, name) in DATA_CENTRES.iter().enumerate().skip(1) {
             let of_centre = (1..NODES).filter(|number| usize::from(*number) % 3 == centre);
-            let told = of_centre.filter(|number| targets.contains(&address(*number)));
-            assert!(told.count() >= 1, "{name}");
+            let notified = of_centre.filter(|number| targets.contains(&address(*number)));
+            assert!(notified.count() >= 1, "{name}");
         }
         for number in 1..NODES {
-            told[usize::from(number)] += u64::from(targets.contains(&address(number)));
+            notified[usize::from(number)] += u64::from(targets.contains(&address(number)));
         }
     }
-    let least = told[1..].iter().min().copied();
-    assert!(least >= Some(DRAWS / 4), "{told:?}");
+    let least = notified[1..].iter().min().copied();
+    assert!(least >= Some(DRAWS / 4), "{notified:?}");
 }
--- a/crates/hemlocktack-fleet/tests/randomised.rs
+++ b/crates/hemlocktack-fleet/tests/randomised.rs
@@ -1,6 +1,6 @@
-//! Fixed seeds of the randomised runs, and the proof that they notice each
-//! safeguard that is left out. Longer runs: `cargo run --release -p
-//! hemlocktack-fleet --example randomised -- --seed 1 --seeds 10000`.
+//! Randomised runs with fixed seeds, and mutation tests that check that the runs detect each
+//! disabled safeguard. Longer runs: `cargo run --release -p hemlocktack-fleet --example randomised
+//! -- --seed 1 --seeds 10000`.
 
 #![allow(clippy::unwrap_used, dead_code)]
 
@@ -14,16 +14,16 @@
 const STEPS: u64 = 3000;
 
 #[test]
-fn promises_hold_on_fixed_seeds() {
+fn guarantees_hold_on_fixed_seeds() {
     for seed in 1..=40 {
         let outcome = run(seed, STEPS, Safeguards::default(), false);
         assert_eq!(outcome.violation, None, "seed {seed}");
     }
 }
 
-// Without these a run could pass because nothing happened in it.
+// Guards against runs that pass because the interesting events never happen in them.
 #[test]
-fn runs_reach_what_they_are_for() {
+fn runs_exercise_the_interesting_events() {
     let mut counts = world::Counts::default();
     for seed in 1..=10 {
         counts.add(&run(seed, STEPS, Safeguards::default(), false).counts);
@@ -41,9 +41,9 @@
     }
 }
 
-// Each safeguard left out breaks a promise, and the run says so.
+// Without any one of the safeguards, some run violates a guarantee and reports it.
 #[test]
-fn every_safeguard_left_out_is_noticed() {
+fn every_disabled_safeguard_is_detected() {
     for safeguard in Safeguard::iter() {
         let safeguards = Safeguards {
             without: Some(safeguard),
