--- a/crates/hemlocktack-decide/src/lib.rs
+++ b/crates/hemlocktack-decide/src/lib.rs
@@ -5,11 +5,11 @@
 //! call.
 
 mod admission;
+mod caller_timeout;
 mod edge_budget;
 mod edge_budgets;
-mod follow;
 mod limit;
-mod link_watch;
+mod link_monitor;
 mod mix;
 mod moves;
 mod objective_limit;
@@ -24,14 +24,15 @@
 mod sends;
 mod shed;
 mod suspects;
-mod usual_patience;
+mod upstream_state;
 mod work;
 
 pub use admission::Admission;
+pub use caller_timeout::CallerTimeoutEstimator;
 pub use edge_budget::{EdgeRetryBudget, RetryPriority};
 pub use edge_budgets::{EdgeRetryBudgets, FleetRetryLimits, NodePosition};
 pub use limit::{ConcurrencyLimit, LimitPolicy};
-pub use link_watch::{LinkAction, LinkMonitor, LinkMonitorPolicy};
+pub use link_monitor::{LinkAction, LinkMonitor, LinkMonitorPolicy};
 pub use moves::MoveCounter;
 pub use objective_limit::ObjectiveLimitPolicy;
 pub use offer::{AdmissionDecision, CancelResult, OfferedCall, QueueDecision, RunResult, WorkKind};
@@ -47,4 +48,3 @@
 pub use retry_after::{RetryAfterPolicy, cap_to_objective, retry_after};
 pub use sends::{CallSends, NextStep};
 pub use shed::{ChainEdges, EntryShedPolicy, EntryShedder, ShedController, ShedLevel, ShedPolicy};
-pub use usual_patience::CallerTimeoutEstimator;
