--- a/crates/hemlocktack-decide/benches/decisions.rs
+++ b/crates/hemlocktack-decide/benches/decisions.rs
@@ -1,4 +1,4 @@
-//! Cost of one decision on the path of a request. Target: 1 microsecond, median.
+//! Cost of one decision on the request path. Target: 1 microsecond, median.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -34,7 +34,7 @@
     }
 }
 
-/// An admission whose slots are taken and in whose queue `queued` calls wait.
+/// Returns an admission with all slots taken and `queued` calls in its queue.
 fn busy(queued: u64, now: Instant) -> Admission {
     let mut policy = AdmissionPolicy::default();
     policy.queue.calls_per_slot = 1000.0;
@@ -46,8 +46,8 @@
     admission
 }
 
-/// Offer, finish and the start of the next waiting call, together: all that one
-/// call costs at a full upstream.
+/// Offering a call, finishing one and starting the next queued one: the total cost of one call
+/// at a full upstream.
 #[divan::bench(args = [0, 100, 1000, 10_000])]
 fn admission_of_one_call(bencher: Bencher<'_, '_>, queued: u64) {
     let start = Instant::now();
@@ -79,8 +79,7 @@
     bencher.bench_local(|| black_box(admission.hint(ShedLevel::OPEN)));
 }
 
-/// Number of upstreams of a service: today's largest and a subset at the aimed
-/// size.
+/// Number of upstreams of a service: the largest in use, and a subset at the target scale.
 #[divan::bench(args = [6, 16])]
 fn placement(bencher: Bencher<'_, '_>, upstreams: usize) {
     let now = Instant::now();
--- a/crates/hemlocktack-decide/tests/admission.rs
+++ b/crates/hemlocktack-decide/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission as one upstream's node sees it.
+//! Admission on the node of one upstream.
 #![allow(clippy::unwrap_used)]
 
 use std::time::{Duration, Instant};
@@ -150,10 +150,10 @@
     assert_eq!(ready(&mut admission, now + WORK), [QueueDecision::Run(2)]);
 }
 
-/// The caller sees requests refused as `shed` though the upstream is idle half
-/// of the time. Calls come unevenly, up to 24 in a row for four slots. An
-/// interval ends while they wait, the queue of that moment is taken for an
-/// overload, and the entries shed by the level that is sent back.
+/// Short queues at half load are not an overload. Calls arrive unevenly, up to 24 in a row for
+/// four slots. If the queue at the end of an interval were taken for an overload, the entries
+/// would shed by the level sent back, and callers would see requests refused as `shed` although
+/// the upstream is idle half of the time.
 #[test]
 fn short_queues_at_half_load_are_no_reason_to_shed() {
     let work = Duration::from_millis(10);
@@ -185,8 +185,8 @@
     }
 }
 
-/// Up to 24 calls half a millisecond apart, then a pause: on average half
-/// of what four slots can do.
+/// Returns batches of up to 24 calls half a millisecond apart, each followed by a pause: on
+/// average half of what four slots can handle.
 fn uneven_arrivals(start: Instant, work: Duration, rng: &mut SmallRng) -> Vec<(CallId, Instant)> {
     let apart = Duration::from_micros(500);
     let mut arrivals = Vec::new();
@@ -201,8 +201,8 @@
     arrivals
 }
 
-/// Announcements, drains and lapses come in any order. The admission takes new
-/// calls exactly where the last state that it followed is one that takes them.
+/// Announcements, drains and expired announcements arrive in any order. The admission accepts
+/// new calls exactly if the state synchronized last accepts them.
 #[test]
 fn follows_the_last_state_whatever_came_before() {
     use UpstreamState::{Absent, Cold, Draining, Ready};
--- a/crates/hemlocktack-decide/tests/after_overload.rs
+++ b/crates/hemlocktack-decide/tests/after_overload.rs
@@ -1,4 +1,4 @@
-//! What a node goes by after its deeper services were overloaded.
+//! Estimates of a node after its child services were overloaded.
 
 use std::time::{Duration, Instant};
 
@@ -11,7 +11,7 @@
 const SLOTS: u32 = 100;
 const PATIENCE: Duration = Duration::from_millis(1_500);
 const OWN: Duration = Duration::from_millis(15);
-/// What a call takes while the service below is overloaded.
+/// Duration of a call while its child service is overloaded.
 const OVERLOADED: Duration = Duration::from_millis(1_300);
 
 fn admission(now: Instant) -> Admission {
@@ -24,7 +24,7 @@
     admission
 }
 
-/// A deeper read, three hops below a lookup.
+/// A child call to read data, three hops below a lookup.
 fn read(call_id: u64, now: Instant) -> OfferedCall {
     OfferedCall {
         call_id,
@@ -39,7 +39,7 @@
     }
 }
 
-/// Payments of another kind that keep all slots busy.
+/// Calls of another kind that keep all slots busy.
 fn payment(call_id: u64, now: Instant) -> OfferedCall {
     OfferedCall {
         class_rank: 0,
@@ -50,11 +50,10 @@
     }
 }
 
-/// A service runs payments in all of its slots, and reads that lookups need. While
-/// a deeper service was overloaded, the reads that finished took 1.3 s, and each
-/// new one has 1.5 s left: taken to need a quarter more, it is refused at once.
-/// The overload passes, but no read runs that could show it. Callers of lookups
-/// are refused until the nodes are started again.
+/// While a child service is overloaded, finished reads took 1.3 s, and a new read has 1.5 s
+/// left. Since its expected time is taken a quarter longer, it is refused at once. After the
+/// overload has passed, no read would run to show it, and callers of lookups would be refused
+/// until the nodes restart. The estimate therefore has to decay.
 #[test]
 fn an_estimate_from_an_overload_does_not_outlive_it() {
     let start = Instant::now();
--- a/crates/hemlocktack-decide/tests/edge_budget.rs
+++ b/crates/hemlocktack-decide/tests/edge_budget.rs
@@ -1,4 +1,4 @@
-//! Retries of one edge as a share of its first tries.
+//! Retries of one edge as a share of its first attempts.
 
 use std::time::{Duration, Instant};
 
@@ -8,11 +8,12 @@
     share_per_mille: 160,
     min_retries: 8,
 };
-/// Checks of one node at a deep service.
+/// Calls per second from one node to a service deep in the chain.
 const FIRST_ATTEMPTS_PER_SECOND: u32 = 200;
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Tries and retries of each second; every first try asks for `wanted` retries.
+/// Runs first attempts, each of which asks for `wanted` retries; returns the retries of each
+/// second.
 fn play(edge: &EdgeRetryBudget, from: Instant, first_attempts: &[u32], wanted: u32) -> Vec<u32> {
     let play_second = |(second, first_attempts): (usize, &u32)| {
         let begin = from + SECOND * second as u32;
@@ -30,11 +31,11 @@
     first_attempts.iter().enumerate().map(play_second).collect()
 }
 
-/// The upstreams of a deep service turn away half of what they get for eight
-/// seconds. Requests end at their first check, so that fewer first tries come
-/// than before, and each wants a retry. The share of the calls before the fault
-/// is there at once, and no ten seconds have more retries than the share of the
-/// first tries in them or in those that began five seconds before.
+/// A service deep in the chain rejects half of its calls for eight seconds. Requests end at
+/// their first call to it, so that there are fewer first attempts than before, each of which
+/// needs a retry. The share of the calls before the fault is available at once, and no ten
+/// seconds have more retries than the share of the first attempts in them or in the window that
+/// began five seconds earlier.
 #[test]
 fn a_fault_of_seconds_may_use_the_share_of_the_calls_before_it() {
     let now = Instant::now();
@@ -51,8 +52,8 @@
     );
 }
 
-/// A fault that does not end, with every call wanting a retry: in the long run an
-/// edge carries its share and no more, in any ten seconds.
+/// In a permanent fault in which every call needs a retry, an edge carries no more than its
+/// share in any ten seconds.
 #[test]
 fn an_edge_carries_at_most_its_share_in_any_window() {
     let now = Instant::now();
@@ -66,8 +67,8 @@
     assert!(all * 10 >= 60 * FIRST_ATTEMPTS_PER_SECOND * POLICY.share_per_mille / 1000 * 9);
 }
 
-/// A quiet edge whose node sees a handful of calls can still repeat what a
-/// restart cut off, once in ten seconds.
+/// An edge with few calls can still repeat the calls interrupted by a restart, once in ten
+/// seconds.
 #[test]
 fn a_quiet_edge_can_repeat_a_few_calls() {
     let now = Instant::now();
@@ -82,8 +83,8 @@
     assert_eq!(take_all(now + SECOND * 10), 8);
 }
 
-/// A lookup was sent twice, and its second run makes its deeper calls again.
-/// They use the share up like retries and earn none.
+/// A lookup was sent twice, and its second run repeats its child calls. They use up the share
+/// like retries and do not add to it.
 #[test]
 fn calls_of_a_repeated_run_count_as_retries() {
     let now = Instant::now();
@@ -92,9 +93,9 @@
     assert!(!edge.try_take(RetryPriority::HIGHEST, now));
 }
 
-/// A second of a fault: so many requests of a class, each of which asks for four
-/// retries and gives up at the first that it does not get. Returns how many got
-/// all, and how many a part.
+/// Simulates a second of a fault with this many requests of a class, each of which asks for four
+/// retries and stops at the first that is not granted. Returns how many requests got all four
+/// and how many got only some.
 fn play_requests(edge: &EdgeRetryBudget, begin: Instant, class: u8, requests: u64) -> (u64, u64) {
     const CLASSES: usize = 4;
     let (mut whole, mut part) = (0, 0);
@@ -108,10 +109,10 @@
     (whole, part)
 }
 
-/// A deep service turns away half of its calls for eight seconds, and lookups
-/// want five times the retries that the share has for them. Spread evenly, each
-/// would get a fifth of what it needs. Each gets all that it asks for or nothing,
-/// also in the last of the eight seconds, and grants come first.
+/// A service deep in the chain rejects half of its calls for eight seconds, and lookups need
+/// five times the retries in the share. Evenly distributed, each would get a fifth of what it
+/// needs. Instead each gets all its retries or none, even in the last second, and the requests
+/// of the most important class come first.
 #[test]
 fn a_scarce_share_goes_to_whole_requests() {
     let now = Instant::now();
@@ -130,8 +131,8 @@
     assert!(whole >= 30 && part * 2 <= whole, "{lookups:?}");
 }
 
-/// One upstream of three turns away half of its calls for a long time. All that
-/// is turned away is within the share, and no lookup is left without its retry.
+/// One upstream of three rejects half of its calls for a long time. The retries needed are
+/// within the share, so every lookup gets its retry.
 #[test]
 fn a_fault_within_the_share_is_answered_whole() {
     let now = Instant::now();
--- a/crates/hemlocktack-decide/tests/edge_budgets.rs
+++ b/crates/hemlocktack-decide/tests/edge_budgets.rs
@@ -1,4 +1,4 @@
-//! Retries of all nodes together, and what a node remembers of its own.
+//! Retry limits over all nodes, and budgets kept after a service has gone.
 
 use std::time::{Duration, Instant};
 
@@ -8,7 +8,7 @@
 use hemlocktack_protocol::ServiceName;
 
 const SECOND: Duration = Duration::from_secs(1);
-/// Span over which operators bound retries.
+/// Window over which operators limit retries.
 const WINDOW_S: u64 = 10;
 
 fn service() -> ServiceName {
@@ -33,8 +33,9 @@
         .count() as u32
 }
 
-/// Most retries of all nodes in any ten seconds, where each node makes one first
-/// try a second or fewer and every call wants all the retries that it can get.
+/// Returns the maximum number of retries of all nodes in any ten seconds, when each node makes
+/// at most one first attempt per second and every call takes all the retries it can get, and the
+/// first attempts in ten seconds.
 fn most_retries(
     allowed: FleetRetryLimits,
     nodes: usize,
@@ -62,10 +63,9 @@
     (most, first_attempts * WINDOW_S as u32 / SECONDS as u32)
 }
 
-/// All answers of a quiet service are lost. Each of many nodes has a few calls to it,
-/// too few to earn a retry by its share, and repeats what it may repeat however quiet
-/// it is. Seen from the service, these add up: operators' bound is on the sum, so the
-/// part of one node is the smaller the more nodes there are.
+/// All answers of a service with few calls are lost. Each of many nodes makes a few calls to it,
+/// too few to earn a retry by its share, and uses its minimum number of retries. The operators
+/// limit the sum over all nodes, so the minimum of one node has to shrink as their number grows.
 #[test]
 fn many_nodes_with_a_few_calls_each_stay_within_what_operators_allow_together() {
     for (nodes, min_retries) in [(17, 57), (74, 69), (560, 57)] {
@@ -82,9 +82,9 @@
     }
 }
 
-/// All nodes of a service are lost at once and come back two seconds later, as when
-/// its machines lose power. A node that had used its retries up would otherwise have
-/// them anew, and the callers' repeats would meet the service as it starts.
+/// All nodes of a service are lost at once and return two seconds later, as after a power
+/// failure. A node that had used up its retries must not get a new budget, or its retries would
+/// hit the service while it starts.
 #[test]
 fn a_service_that_comes_back_finds_its_retries_spent() {
     let allowed = FleetRetryLimits {
@@ -101,8 +101,8 @@
     assert!(take_all(&budgets.edge(&service(), later), later) > 0);
 }
 
-/// The same with a service that had its nodes for an hour in which nothing changed;
-/// and one that is gone for good is forgotten in the end.
+/// The same for a service whose nodes did not change for an hour; a service that does not return
+/// is forgotten eventually.
 #[test]
 fn an_old_edge_outlives_its_service_as_a_young_one_does() {
     let begin = Instant::now();
--- a/crates/hemlocktack-decide/tests/fresh_beside_deeper.rs
+++ b/crates/hemlocktack-decide/tests/fresh_beside_deeper.rs
@@ -1,4 +1,4 @@
-//! A few direct requests at a service that is full of deeper calls.
+//! A few direct requests to a service that is full of child calls.
 
 use std::time::{Duration, Instant};
 
@@ -7,17 +7,17 @@
     QueueDecision, RunResult,
 };
 
-/// A small service three hops down: a lookup needs it four times, and a
-/// cancellation goes to it directly, both of the same class.
+/// A small service three hops down: a lookup needs it four times, and a cancellation calls it
+/// directly; both are of the same class.
 const SLOTS: u32 = 20;
 const CHECK: Duration = Duration::from_millis(22);
 const CANCELLATION: Duration = Duration::from_millis(72);
 const OBJECTIVE: Duration = Duration::from_millis(250);
 const PATIENCE: Duration = Duration::from_secs(5);
 const STEP: Duration = Duration::from_millis(1);
-/// A fifth more checks than the slots finish in a second (0.94 * 20 / 22 ms).
+/// A fifth more checks than the slots finish per second (0.94 * 20 / 22 ms).
 const CHECKS_A_STEP: f64 = 1.03;
-/// Eight a second: three in a hundred of the slots' time.
+/// Eight per second: three hundredths of the slots' time.
 const CANCELLATION_EVERY: u64 = 125;
 const SECONDS: u64 = 5;
 
@@ -69,10 +69,9 @@
     }
 }
 
-/// Deeper calls keep a queue standing in front of a small service for seconds,
-/// and each new one goes before every fresh request. Cancellations are 3 % of
-/// the work and of the same class; without a turn of their own their callers
-/// are refused from the first second to the last (0 of 40 start).
+/// Child calls keep a queue in front of a small service for seconds, and each new one goes ahead
+/// of all fresh requests. Cancellations are 3 % of the work and of the same class. Without a
+/// turn of their own they would all be refused (0 of 40 start).
 #[test]
 fn a_few_fresh_requests_have_their_turn_beside_deeper_calls() {
     let policy = AdmissionPolicy {
--- a/crates/hemlocktack-decide/tests/link_watch.rs
+++ b/crates/hemlocktack-decide/tests/link_watch.rs
@@ -1,12 +1,12 @@
-//! Links whose far end goes without a word.
+//! Detection of links whose peer no longer responds.
 
 use std::time::{Duration, Instant};
 
 use hemlocktack_decide::{LinkAction, LinkMonitor, LinkMonitorPolicy};
 
-/// Lets time pass step by step. `heard_at` are the moments at which something
-/// comes over the link, echoes or not; the moments of echoes asked for, and
-/// when the link counts as lost, in milliseconds.
+/// Advances the time step by step. `heard_at` returns when data was last received on the link,
+/// echoes included, given the times of the echo requests so far. Returns the times of the echo
+/// requests and when the link counts as lost, in milliseconds.
 fn watch(heard_at: impl Fn(&[u64]) -> Option<u64>, until_ms: u64) -> (Vec<u64>, Option<u64>) {
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
@@ -28,9 +28,8 @@
     (asked, None)
 }
 
-/// The peer loses power under a call. Its caller would wait for its whole
-/// patience; it learns of the loss within half a second, early enough for
-/// another node.
+/// The peer loses power during a call. The caller must not wait for its full timeout: the loss
+/// is detected within half a second, early enough to use another node.
 #[test]
 fn a_silent_peer_is_noticed_within_half_a_second() {
     let (asked, lost) = watch(|_| None, 10_000);
@@ -38,8 +37,8 @@
     assert_eq!(lost, Some(420));
 }
 
-/// The upstream takes seconds for one call, and its node is well: it answers
-/// each echo, and the call goes on.
+/// The upstream takes seconds for one call while its node is healthy: the node answers each echo
+/// request, so the call continues.
 #[test]
 fn a_slow_upstream_behind_a_living_node_is_waited_for() {
     let echoed = |asked: &[u64]| asked.last().map(|asked| asked + 2);
@@ -48,15 +47,15 @@
     assert!(asked.len() > 20, "{asked:?}");
 }
 
-/// One packet is lost and comes with the next try of the system, 200 ms later.
+/// One packet is lost and arrives with the retransmission 200 ms later.
 #[test]
 fn one_lost_packet_is_no_lost_peer() {
     let late = |asked: &[u64]| asked.last().map(|asked| asked + 210);
     assert_eq!(watch(late, 5_000).1, None);
 }
 
-/// This node stood still for seconds, and the echo that came meanwhile is read
-/// only after the first look.
+/// This node was suspended for seconds; the echo received meanwhile is read only after the first
+/// check.
 #[test]
 fn what_lies_unread_counts_before_a_link_is_lost() {
     let start = Instant::now();
--- a/crates/hemlocktack-decide/tests/moves.rs
+++ b/crates/hemlocktack-decide/tests/moves.rs
@@ -1,4 +1,4 @@
-//! Calls that were not run where they were sent first.
+//! Moves of calls that were not run on the first node.
 
 use hemlocktack_decide::MoveCounter;
 use hemlocktack_protocol::{Reason, Refusal};
@@ -15,17 +15,17 @@
         .collect()
 }
 
-/// Half of the nodes lost power, and the entry's view still has them. A booking
-/// that reached none of the first three has not run anywhere, and is not given
-/// back to its caller while the entry can go on.
+/// Half of the nodes lost power and are still in the entry's view. A booking that did not reach
+/// any of the first three has not run anywhere, so the entry tries further nodes instead of
+/// returning it to the caller.
 #[test]
 fn a_call_that_reaches_nobody_goes_on_to_the_next() {
     let lost = [Reason::LinkLost; 4];
     assert_eq!(moves(&lost), [true, true, true, false]);
 }
 
-/// A full service refuses on each node. Asking all of them would multiply the
-/// load that they refuse for.
+/// A full service refuses on each node. Trying all of them would multiply the load that they
+/// refuse for.
 #[test]
 fn a_refused_call_is_moved_once_and_a_shed_one_never() {
     assert_eq!(
--- a/crates/hemlocktack-decide/tests/objectives.rs
+++ b/crates/hemlocktack-decide/tests/objectives.rs
@@ -1,4 +1,4 @@
-//! The limit by operators' objectives, under the load that it is made for.
+//! The concurrency limit by latency objectives, under overload.
 
 use std::time::{Duration, Instant};
 
@@ -7,7 +7,7 @@
 };
 
 const SLOTS: u32 = 92;
-/// Of 92, as some upstreams slow down when they are nearly full.
+/// Usable slots of 92, since some upstreams slow down when they are nearly full.
 const FILLED_SLOTS: u32 = 86;
 const OBJECTIVE: Duration = Duration::from_millis(1_500);
 const PATIENCE: Duration = Duration::from_secs(6);
@@ -37,8 +37,8 @@
     }
 }
 
-/// Keeps every slot busy for some rounds; each round's calls take `run`, of
-/// which the upstream itself needs `own`. Returns the limit after each round.
+/// Keeps every slot busy for some rounds in which each call takes `run`, of which the upstream
+/// itself needs `own`. Returns the limit after each round.
 fn run_rounds(rounds: usize, own: Duration, run: Duration) -> Vec<u32> {
     let mut now = Instant::now();
     let mut admission = admission(now);
@@ -68,10 +68,9 @@
     limits
 }
 
-/// Ten calls one after the other wait at a deep service that is full, and each
-/// request takes 1.3 of the 1.5 s that it may. Fewer of them side by side wait
-/// less, so the limit comes down until runs take six tenths of the objective;
-/// what does not fit is refused before any work.
+/// Ten calls in sequence wait at a full child service, and each request takes 1.3 of its 1.5 s.
+/// With lower concurrency each waits less, so the limit is lowered until runs take six tenths of
+/// the objective; the remaining calls are refused before any work is done.
 #[test]
 fn waiting_below_lowers_the_limit() {
     let limits = run_rounds(3, OWN_WORK, Duration::from_millis(1_300));
@@ -79,16 +78,16 @@
     assert!(limits[2] < limits[0], "{limits:?}");
 }
 
-/// An upstream of half the speed takes most of the objective itself. It is as
-/// slow with fewer calls, and would only lose slots.
+/// An upstream at half speed takes most of the objective itself. It is just as slow with fewer
+/// calls, so a lower limit would only waste slots.
 #[test]
 fn an_upstream_that_is_slow_itself_keeps_its_slots() {
     let run = Duration::from_millis(1_300);
     assert_eq!(run_rounds(3, run, run), [FILLED_SLOTS; 3]);
 }
 
-/// An admission whose runs take `run`, mostly in deeper calls, with every slot
-/// busy and nobody waiting.
+/// Returns an admission whose runs take `run`, mostly in child calls, with every slot busy and
+/// no call queued.
 fn busy(run: Duration, now: Instant) -> (Admission, Instant) {
     let mut admission = admission(now);
     for call_id in 0..u64::from(FILLED_SLOTS) {
@@ -109,9 +108,9 @@
     (admission, later)
 }
 
-/// A saturated service, and a caller who was refused a while ago comes back with
-/// less left of its objective than a run takes. Its answer would be late in any
-/// case; a fresh request in its place is answered in time.
+/// At a saturated service, a caller that was refused earlier retries with less of its objective
+/// left than a run takes. Its answer would be late in any case; a first attempt in its place is
+/// answered in time.
 #[test]
 fn who_came_back_too_late_does_not_take_the_place_of_a_fresh_request() {
     let run = Duration::from_millis(600);
@@ -137,8 +136,8 @@
     );
 }
 
-/// Whoever is refused is told a time at which it can still be answered in time:
-/// of 1.5 s a run takes 0.6.
+/// A refused caller is told a Retry-After after which it can still be answered in time: a run
+/// takes 0.6 of 1.5 s.
 #[test]
 fn a_refused_caller_is_sent_away_for_no_longer_than_it_can_use() {
     let run = Duration::from_millis(600);
@@ -155,11 +154,10 @@
     assert!(refused > 100, "{refused}");
 }
 
-/// Ten calls one after the other at a deep service that has room for a third of
-/// the lookups. Nine in ten lookups fail when one of their calls is refused there,
-/// half way, and the tenth is answered in time. Going by the answers alone, the
-/// upstream would run as many lookups side by side for ever, and the deep service
-/// would work for those that fail. Let in less, most of them are answered.
+/// Requests make ten calls in sequence to a child service with capacity for a third of them.
+/// Nine in ten fail halfway when one of their calls is refused, and the tenth is answered in
+/// time. Judged by the answers alone, the limit would stay as it is, and the child service would
+/// keep working for requests that fail. With a lower limit most requests are answered.
 #[test]
 fn requests_that_found_no_room_below_lower_the_limit() {
     let mut now = Instant::now();
@@ -189,10 +187,10 @@
     assert!(limit <= FILLED_SLOTS / 3, "{limit}");
 }
 
-/// A chain that takes 0.8 of 1.5 s when nothing waits. An overload brings the limit
-/// down to its least; from there the runs are as short as they get, and more than
-/// half of the objective all the same. The limit comes back up: held at its least,
-/// three of four requests that could be served would be refused.
+/// A chain takes 0.8 of 1.5 s without any queueing. An overload lowers the limit to its minimum.
+/// There the runs are as short as possible and still take more than half of the objective. The
+/// limit has to rise again: held at its minimum, three of four requests that could be served
+/// would be refused.
 #[test]
 fn a_long_chain_is_not_held_at_the_least_limit() {
     let free = Duration::from_millis(800);
--- a/crates/hemlocktack-decide/tests/operators_limits.rs
+++ b/crates/hemlocktack-decide/tests/operators_limits.rs
@@ -23,8 +23,8 @@
     }
 }
 
-/// The operators set the queue to 0 while one call waits. That call was taken:
-/// it runs in its turn, and the next one is refused at once.
+/// The operators set the queue limit to 0 while one call is queued. That call was accepted and
+/// still runs; the next one is refused at once.
 #[test]
 fn a_smaller_queue_keeps_what_waits_and_takes_no_more() {
     let now = Instant::now();
@@ -63,8 +63,8 @@
     assert!(edge.try_take(RetryPriority::HIGHEST, now));
 }
 
-/// A request is quarantined for the time that operators say, also if they say
-/// it after the crashes.
+/// The duration of the quarantine follows the operators' setting even if it changes after the
+/// crashes.
 #[test]
 fn the_time_in_quarantine_is_the_operators() {
     let now = Instant::now();
--- a/crates/hemlocktack-decide/tests/placement.rs
+++ b/crates/hemlocktack-decide/tests/placement.rs
@@ -18,7 +18,7 @@
     }
 }
 
-/// Peers that have just answered with so many calls in flight.
+/// Returns peers that have just answered with these numbers of calls in flight.
 fn peers(loads: &[(bool, u32)], now: Instant) -> Vec<Arc<PeerLoad>> {
     let peer = |&(is_local, in_flight): &(bool, u32)| {
         let peer = PeerLoad::new(is_local, UpstreamState::Ready, now);
@@ -29,7 +29,7 @@
     loads.iter().map(peer).collect()
 }
 
-/// How many of a hundred calls go to each peer, if none of them is answered.
+/// Returns how many of a hundred calls go to each peer if none is answered.
 fn shares(peers: &[Arc<PeerLoad>], now: Instant) -> Vec<u32> {
     let mut rng = SmallRng::seed_from_u64(3);
     let mut counts = vec![0; peers.len()];
@@ -61,8 +61,8 @@
     );
 }
 
-/// A broken upstream answers each call with an error at once, so it is always
-/// idle. It must not draw the calls of the others.
+/// A broken upstream answers each call with an immediate error and so always looks idle. It must
+/// not attract the calls of the others.
 #[test]
 fn fast_failures_do_not_attract_calls() {
     let now = Instant::now();
@@ -87,10 +87,9 @@
     assert_eq!(shares(&peers, now), [0, 100, 0], "the last resort");
 }
 
-/// A node stands still and its link stays open. New calls go elsewhere as soon
-/// as its silence is out of the ordinary. The calls that wait there are given
-/// up only when membership suspects it too: a quiet peer may run one long call,
-/// which would then be done twice.
+/// A node hangs while its link stays open. New calls go elsewhere as soon as its silence is
+/// abnormal. Calls that wait there are given up only once membership suspects it too: an idle
+/// peer may run one long call, which would then run twice.
 #[test]
 fn a_silent_peer_is_passed_over_and_lost_only_when_suspected() {
     let now = Instant::now();
@@ -105,9 +104,8 @@
     assert!(!peers[0].is_lost(later));
 }
 
-/// Two near machines are old: calls take them three times as long as those of
-/// another data centre. Callers there would be refused for slowness while the
-/// quick ones have room.
+/// Two local machines are old and take three times as long as those of another data centre.
+/// Callers would be refused because of their latency while the faster ones have spare capacity.
 #[test]
 fn a_quick_upstream_far_away_goes_before_a_slow_near_one() {
     let now = Instant::now();
@@ -124,8 +122,8 @@
     assert!(shares[2] > 50, "{shares:?}");
 }
 
-/// A peer lost power. Each call that tries it waits for nothing; so it is tried
-/// less and less often while it fails, and as ever once it has answered.
+/// A peer lost power. Each call sent to it waits in vain, so it is tried less and less often
+/// while it fails, and normally again once it has answered.
 #[test]
 fn a_peer_that_fails_whenever_it_is_tried_is_tried_less_often() {
     let start = Instant::now();
@@ -137,7 +135,7 @@
         let now = start + Duration::from_millis(now_ms);
         if place(&peers, |_| true, None, now, &policy, &mut rng) == Some(0) {
             tried_ms.push(now_ms);
-            // Two calls meet the same fault.
+            // Two calls fail because of the same fault.
             for _ in 0..2 {
                 peers[0].sent(now);
                 peers[0].failed(now);
@@ -154,8 +152,8 @@
     assert!(shares(&peers, soon)[0] > 0);
 }
 
-/// A near node has woken from a freeze; what its last calls took is held
-/// against it. Left alone it would never show that it is well.
+/// A local node has resumed after being suspended, and the latency of its last calls counts
+/// against it. Without further calls it could never show that it has recovered.
 #[test]
 fn an_idle_near_peer_is_tried_however_slow_it_was() {
     let now = Instant::now();
@@ -169,11 +167,11 @@
     assert!(shares(&peers, now)[0] > 0);
 }
 
-/// Checks three hops down: the machine of this data centre takes 31 ms for one,
-/// another data centre's 14 ms, and both have room. A lookup that is wanted
-/// within 1.2 s makes four of them; 17 ms less for each change nothing for its
-/// caller, and the fast machine would draw the calls of every data centre. A
-/// cancellation that is wanted within a quarter of a second goes to the fast one.
+/// A call three hops down takes 31 ms on the machine of this data centre and 14 ms in another
+/// one, and both have spare capacity. A lookup with an objective of 1.2 s makes four such calls;
+/// 17 ms less for each does not matter to its caller, and the fast machine would attract the
+/// calls of all data centres. A cancellation with an objective of a quarter of a second goes to
+/// the fast one.
 #[test]
 fn a_slower_near_upstream_goes_first_where_its_answer_is_in_time() {
     let now = Instant::now();
@@ -196,9 +194,9 @@
     assert_eq!(placed(250), Some(1));
 }
 
-/// Both upstreams of a data centre turn away half of what they get for a while,
-/// and are well again. The first that answers a few calls must not draw all of
-/// them: the other has nothing by which it could show that it is well too.
+/// Both upstreams of a data centre reject half of their calls for a while and then recover. The
+/// first that answers a few calls must not attract all of them: the other one would get no calls
+/// to show that it has recovered.
 #[test]
 fn failures_of_both_are_forgotten_when_the_fault_has_passed() {
     let now = Instant::now();
@@ -223,10 +221,9 @@
     assert!(shares[1] >= 40, "{shares:?}");
 }
 
-/// A deep service is slow for a while, and the upstreams above give their checks
-/// up at their deadline, hundreds of them at the near machine. When it is well it
-/// has all its slots free. A node that still counted the calls which were left
-/// would send every later one to another data centre, for good.
+/// A service deep in the chain is slow for a while, and its callers abandon hundreds of calls to
+/// the local machine at their deadline. Once it has recovered, all its slots are free. If
+/// abandoned calls stayed counted, every later call would go to another data centre permanently.
 #[test]
 fn calls_that_were_left_do_not_make_a_peer_look_full() {
     let now = Instant::now();
@@ -238,10 +235,9 @@
     assert_eq!(shares(&peers, now), [100, 0]);
 }
 
-/// The near upstream of a service with many slots turns half of its calls away
-/// for seconds, and its health is good. It is always nearly idle, so that it would
-/// go before the others with every call. It has to be tried now and then all the
-/// same, or it would never show that it is well again.
+/// The local upstream of a service with many slots rejects half of its calls for seconds while
+/// its health check succeeds. It is always nearly idle and would be preferred for every call. It
+/// still has to be tried occasionally, or it could never show that it has recovered.
 #[test]
 fn an_idle_near_upstream_that_turns_calls_away_is_tried_seldom() {
     let start = Instant::now();
--- a/crates/hemlocktack-decide/tests/quarantine.rs
+++ b/crates/hemlocktack-decide/tests/quarantine.rs
@@ -43,9 +43,9 @@
     }
 }
 
-/// The caller sees its request fail, sends it again and again, and each time
-/// an upstream dies with all that runs in it. The first crash cannot tell which
-/// of the calls did it; the second has only one suspect.
+/// A caller retries a failing request, and each time an upstream crashes with all that runs in
+/// it. The first crash does not show which of the calls caused it; the second has only one
+/// suspect.
 #[test]
 fn a_request_that_crashes_upstreams_is_refused_after_the_second_crash() {
     let now = Instant::now();
@@ -65,7 +65,7 @@
         third.quarantine().learn(suspect, now);
     }
 
-    // All four are sent again, to the second upstream: one at a time.
+    // All four are sent again, to the second upstream, where they run one at a time.
     assert_eq!(
         second.offer(&offer(10, 99, now), now),
         AdmissionDecision::Run
@@ -98,8 +98,8 @@
     }
 }
 
-/// Two copies of the request wait at two upstreams when the first of them is
-/// convicted. The other must not be run because it had been accepted before.
+/// Copies of the request are queued when it is quarantined. They must not run although they were
+/// accepted before.
 #[test]
 fn a_copy_that_waits_is_refused_once_the_request_is_convicted() {
     let now = Instant::now();
@@ -123,9 +123,9 @@
     ));
 }
 
-/// The caller of an innocent request is refused, since an upstream happened to
-/// die of something else while the request was its only suspect. The conviction
-/// ends, the request runs once more as a suspect, and its answer clears it.
+/// A harmless request is refused because an upstream crashed for another reason while the
+/// request was its only suspect. The quarantine ends, the request runs once more as a suspect,
+/// and its answer clears it.
 #[test]
 fn no_conviction_is_for_good() {
     let policy = QuarantinePolicy::default();
--- a/crates/hemlocktack-decide/tests/retry.rs
+++ b/crates/hemlocktack-decide/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retries over a whole chain.
+//! Retries over a whole call chain.
 #![allow(clippy::unwrap_used)]
 
 use std::time::{Duration, Instant};
@@ -22,13 +22,14 @@
     }
 }
 
-/// A call at `depth` whose calls fail at random; returns retries spent below.
+/// Simulates a call at `depth` whose child calls fail at random; returns the retries spent below
+/// it.
 fn spend(allowance: &RetryAllowance, depth: u32, fan_out: u32, rng: &mut SmallRng) -> u32 {
     let mut spent = 0;
     if depth == DEPTH {
         return spent;
     }
-    // Parallel children: each share is given away before any comes back.
+    // Parallel children: every share is granted before any is returned.
     let given: Vec<_> = (0..fan_out).map(|_| allowance.grant_to_child()).collect();
     for given in given {
         let child = RetryAllowance::new(given);
@@ -47,8 +48,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// The caller's request fans out ten hops deep and every call may fail; hops
-    /// lose children and repeat calls as often as they are allowed to.
+    /// A request fans out ten hops deep and every call may fail; hops lose children and repeat
+    /// calls as often as they are allowed to.
     #[test]
     fn the_whole_chain_never_spends_more_than_the_root_allows(
         granted in 0u32..12,
@@ -62,15 +63,15 @@
     }
 }
 
-/// A request's first send goes to a node that loses power, and its share of the
-/// allowance with it. The entry can still send it to another node, once, and a
-/// second loss is told to the caller.
+/// The first send of a request goes to a node that loses power, and its share of the allowance
+/// is lost with it. The entry can still send the request to another node, once; a second loss is
+/// returned to the caller.
 #[test]
 fn a_lost_child_leaves_the_entry_its_own_retry() {
     let allowance = RetryAllowance::with_entry_share(1, 1);
     let edge = EdgeRetryBudget::new(RetryPolicy::default(), Instant::now());
     let verdicts = [(); 2].map(|()| {
-        // Gone for good with the child that is lost.
+        // Lost with the child.
         allowance.grant_to_child();
         let lost = CallFailure::Unknown(Reason::LinkLost);
         let (left, expected) = (Duration::from_secs(1), Duration::from_millis(100));
@@ -87,8 +88,8 @@
     assert_eq!(verdicts, expected);
 }
 
-/// A child that answers gives its rest back, which stays for the calls below:
-/// the entry sends a request to no more nodes than its own retries allow.
+/// The rest that an answered child returns stays reserved for child calls: the entry sends a
+/// request to no more nodes than its own retries allow.
 #[test]
 fn what_a_child_gives_back_is_not_spent_at_the_entry() {
     let allowance = RetryAllowance::with_entry_share(1, 4);
@@ -143,9 +144,9 @@
     insta::assert_snapshot!(verdicts.join("\n"));
 }
 
-/// A node is killed and started again at its address within a moment. A lookup
-/// that was on its way there ends `unknown`; other nodes are up, so it is sent
-/// again like one whose link was lost. A booking is not.
+/// A node is killed and quickly restarted at its address. A lookup in flight to it ends
+/// `unknown`; other nodes are available, so it is sent again as if its link had been lost. A
+/// booking is not.
 #[test]
 fn a_lookup_on_a_restarted_node_is_sent_again() {
     let verdict = |idempotent| {
@@ -165,10 +166,10 @@
     assert_eq!(verdict(false), RetryDecision::PassUp);
 }
 
-/// A service two hops below the entry turns every other call away, whatever its
-/// load, and a lookup needs four answers of it, one after the other. Told of the
-/// first refusal, callers see six lookups in seven fail. The entry's single
-/// retry, kept for a send that may have run, is still there in the end.
+/// A service two hops below the entry rejects every other call whatever its load, and a lookup
+/// needs four answers from it in sequence. If the first rejection were returned, six lookups in
+/// seven would fail. The entry's single retry, kept for sends that may have run, is still
+/// available in the end.
 #[test]
 fn a_lookup_gets_its_four_answers_where_every_other_call_is_turned_away() {
     const FOR_CHAIN: u32 = 24;
@@ -226,8 +227,8 @@
     assert_eq!(verdict(Duration::from_secs(1), 1), RetryDecision::Retry);
 }
 
-/// The first send dies with its upstream, the retry is refused. Told `not-run`,
-/// the caller would send again what may have run.
+/// The first send fails with its upstream, and the retry is refused. If `not-run` were reported,
+/// the caller would repeat what may have run.
 #[test]
 fn a_refused_retry_does_not_hide_that_the_first_send_may_have_run() {
     let unknown = CallFailure::Unknown(Reason::UpstreamFailed);
--- a/crates/hemlocktack-decide/tests/retry_after.rs
+++ b/crates/hemlocktack-decide/tests/retry_after.rs
@@ -1,4 +1,4 @@
-//! When refused callers are told to come back.
+//! Retry-After of refusals.
 
 use std::time::Duration;
 
@@ -7,9 +7,9 @@
 const DECLARED: usize = 3;
 const CLASS_SPAN: u32 = 1 << 16;
 
-/// Half of the last declared class is shed: a passing squeeze. A caller that was
-/// told ten seconds, because the levels also count the classes that nobody
-/// declared, would stay away long after it has passed.
+/// Half of the last declared class is shed, a brief overload. If the undeclared classes counted
+/// as shed too, a caller would be told to wait ten seconds and stay away long after the
+/// overload.
 #[test]
 fn only_declared_classes_count_as_pressure() {
     let undeclared = (MAX_CLASSES - DECLARED) as u32 * CLASS_SPAN;
--- a/crates/hemlocktack-decide/tests/scenarios.rs
+++ b/crates/hemlocktack-decide/tests/scenarios.rs
@@ -1,5 +1,5 @@
-//! Outcomes for callers under load and faults, in virtual time, by the driver
-//! of the example `scenarios` with shorter runs.
+//! Outcomes for callers under load and faults, in virtual time, with the driver of the example
+//! `scenarios` and shorter runs.
 
 #[allow(dead_code, reason = "the example uses the rest")]
 #[path = "../examples/scenarios/driver/mod.rs"]
@@ -15,7 +15,7 @@
 
 const SEED: u64 = 7;
 
-/// A scenario of the table with three seconds of pressure.
+/// Returns the named scenario with three seconds of pressure.
 fn short(name: &str) -> Scenario {
     let scenario = driver::all_scenarios()
         .into_iter()
@@ -34,8 +34,7 @@
     Row::new(deployment, scenario, Policy::Hemlocktack, outcomes)
 }
 
-/// One line for each deployment, in whole percent, after the checks that hold
-/// in every scenario.
+/// Checks what holds in every scenario and returns one line per deployment, in whole percent.
 fn table(name: &str) -> String {
     let scenario = short(name);
     let mut lines = Vec::new();
@@ -55,8 +54,8 @@
     lines.join("\n")
 }
 
-/// Long calls that nothing tells from short ones take longer than their callers
-/// wait in a fifth of all cases, whatever the load; else 3% is the target.
+/// Long calls that cannot be told from short ones exceed their callers' timeout in a fifth of
+/// all cases, whatever the load; otherwise the target is 3%.
 fn most_wasted(scenario: &str) -> f64 {
     if scenario == "short-long-2x" {
         0.15
@@ -86,63 +85,62 @@
     }
 }
 
-/// Callers see a short wait. Three times the capacity comes for 150 ms each
-/// second; the queue takes the burst up and is empty again before the next one.
+/// Three times the capacity arrives for 150 ms in each second. The queue absorbs the burst and
+/// is empty again before the next one, so that callers only see a short wait.
 #[test]
 fn bursts_are_queued_and_not_refused() {
     insta::assert_snapshot!(table("bursts"));
 }
 
-/// Callers that browse are refused while bookings and renewals are answered.
-/// Twice the capacity comes for some seconds and refused callers come again.
+/// Twice the capacity arrives for some seconds, and refused callers retry. Browsing is refused
+/// while bookings and renewals are answered.
 #[test]
 fn a_surge_of_twice_the_capacity_costs_the_least_important_requests() {
     insta::assert_snapshot!(table("surge-2x"));
 }
 
-/// Even bookings alone are more than capacity: as many as fit are answered, and
-/// work is not spread over requests that fail later.
+/// Bookings alone exceed the capacity: as many as fit are answered, and no work is spent on
+/// requests that fail later.
 #[test]
 fn full_saturation_still_answers_what_capacity_allows() {
     insta::assert_snapshot!(table("saturation-8x"));
 }
 
-/// All requests enter in one data centre and ask for one service.
+/// All requests enter in one data centre and call the same service.
 #[test]
 fn skewed_demand_spills_over_to_the_other_data_centres() {
     insta::assert_snapshot!(table("skewed-2x"));
 }
 
-/// One upstream becomes five times slower without a word. Callers would wait in
-/// its queue; placement sees its times and gives it what it can do.
+/// One upstream becomes five times slower without reporting it. Callers would wait in its queue;
+/// placement sees its latency and sends it what it can handle.
 #[test]
 fn one_slow_upstream_does_not_slow_the_service() {
     insta::assert_snapshot!(table("slow-upstream"));
 }
 
-/// The last service of the chain becomes four times slower, so that each hop
-/// above holds its slots for longer. Its level reaches the entry, and what
-/// cannot be finished there is not begun.
+/// The last service of the chain becomes four times slower, so that each hop above holds its
+/// slots longer. Its shed level reaches the entry, and requests that cannot be finished there
+/// are not started.
 #[test]
 fn a_slow_deep_service_is_shed_for_at_the_entry() {
     insta::assert_snapshot!(table("deep-slow"));
 }
 
-/// One browsing request of ten takes ten times as long, and nothing tells which.
+/// One browsing request in ten takes ten times as long, and nothing in the request shows which.
 #[test]
 fn long_calls_among_short_ones_do_not_cost_the_important_class() {
     insta::assert_snapshot!(table("short-long-2x"));
 }
 
-/// One upstream of each service dies, is down for a second and comes back cold.
-/// Its calls fail; idempotent ones are retried elsewhere.
+/// One upstream of each service crashes, is down for a second and restarts cold. Its calls fail;
+/// idempotent ones are retried elsewhere.
 #[test]
 fn a_cold_upstream_is_filled_slowly() {
     insta::assert_snapshot!(table("cold-start"));
 }
 
-/// The load endpoints claim that each upstream is full, or that each is idle.
-/// Callers must not notice.
+/// The load endpoints report every upstream as full, or as idle. Callers must not notice.
 #[test]
 fn lying_load_reports_change_no_outcome() {
     let honest = Scenario {
@@ -160,14 +158,14 @@
     }
 }
 
-/// Refused callers send up to eight times, 50 ms apart, and heed no Retry-After.
+/// Refused callers send up to eight times, 50 ms apart, and ignore Retry-After.
 #[test]
 fn callers_that_retry_hard_do_not_hold_the_overload_up() {
     insta::assert_snapshot!(table("hard-retries-2x"));
 }
 
-/// A request crashes each upstream that runs it and is sent every half second.
-/// After two crashes it is refused everywhere.
+/// A request crashes each upstream that runs it and is sent every half second. After two crashes
+/// it is refused everywhere.
 #[test]
 fn a_crashing_request_costs_two_upstreams_and_no_innocent() {
     let scenario = short("crashing-request");
@@ -178,9 +176,9 @@
     insta::assert_snapshot!(table("crashing-request"));
 }
 
-/// A node stands still with its links open. Callers whose calls are placed there
-/// would wait their whole patience while other upstreams are idle. It is passed
-/// over for its silence; once membership suspects it, idempotent calls leave it.
+/// A node hangs with its links open. Callers whose calls are placed there would wait for their
+/// full timeout while other upstreams are idle. Placement avoids the node because of its
+/// silence; once membership suspects it, idempotent calls are sent elsewhere.
 #[test]
 fn a_frozen_node_does_not_hold_its_callers() {
     let scenario = Scenario {
@@ -195,7 +193,7 @@
     }
 }
 
-/// The same seed gives the same outcome, so that a failing one can be repeated.
+/// The same seed gives the same outcome, so that a failure can be reproduced.
 #[test]
 fn a_run_can_be_repeated() {
     let scenario = short("surge-2x");
--- a/crates/hemlocktack-decide/tests/sends.rs
+++ b/crates/hemlocktack-decide/tests/sends.rs
@@ -1,4 +1,4 @@
-//! The sends of one call: how many upstreams may run it, and what ends them.
+//! The sends of one call: how many upstreams may run it, and when it ends.
 
 use hemlocktack_decide::{CallSends, NextStep, RetryDecision};
 use hemlocktack_protocol::{CallFailure, Reason, Refusal};
@@ -20,7 +20,7 @@
     sends.next_step(end, true, || RetryDecision::Retry)
 }
 
-/// Sends a call to node after node, as long as another send follows.
+/// Sends a call to one node after another while another send follows.
 fn steps(max_upstreams: usize, ends: &[CallFailure]) -> Vec<NextStep> {
     let mut sends = CallSends::new(max_upstreams);
     let mut steps = Vec::new();
@@ -34,9 +34,9 @@
     steps
 }
 
-/// Upstreams run a deeper call and lose the answers, one after the other. Its chain
-/// has retries left for twenty sends more; its route has two upstreams. The third
-/// does not get it, and no retry is taken for what is not sent.
+/// Upstreams run a child call and lose the answers, one after the other. The chain has retries
+/// left for twenty more sends, and the route allows two upstreams. A third upstream does not get
+/// the call, and no retry is taken for a send that does not happen.
 #[test]
 fn a_call_stops_at_its_own_route_whatever_its_chain_has_left() {
     let mut sends = CallSends::new(2);
@@ -54,19 +54,19 @@
 fn what_follows_each_end() {
     use NextStep::{Moved, Retried, UpstreamsUsedUp};
     assert_eq!(steps(1, &[LOST]), [UpstreamsUsedUp]);
-    // A node that refuses it has not handed it over.
+    // A node that refuses the call has not handed it to its upstream.
     assert_eq!(
         steps(2, &[FULL, LOST, LOST]),
         [Moved, Retried, UpstreamsUsedUp]
     );
-    // What an upstream turns away has not run there.
+    // A call rejected by an upstream has not run there.
     assert_eq!(
         steps(2, &[REJECTED, LOST, LOST]),
         [Retried, Retried, UpstreamsUsedUp]
     );
 }
 
-/// Why the caller is told, by the verdict on a further retry.
+/// Each retry decision maps to its own reason for returning the call.
 #[test]
 fn each_verdict_has_a_step_of_its_own() {
     let cases = [
@@ -82,8 +82,8 @@
     }
 }
 
-/// The only node of a service loses an answer. There is no other to send the call to,
-/// so the retry that it would have taken is left for a call that can use it.
+/// The only node of a service loses an answer. The call cannot be sent to another node, so no
+/// retry is taken; it is left for a call that can use it.
 #[test]
 fn no_retry_is_taken_where_no_node_is_left() {
     for end in [LOST, FULL] {
@@ -94,8 +94,8 @@
     }
 }
 
-/// Two upstreams have turned a call away, and its route allows no third: only
-/// these may get it again, and one that is left alone may get it at once.
+/// Two upstreams have rejected a call and its route allows no third: only these two may get it
+/// again, and the last one only if no other is left.
 #[test]
 fn only_upstreams_that_turned_it_away_may_get_it_again() {
     let mut sends = CallSends::new(2);
@@ -109,8 +109,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Any ends at any nodes, with a retry for each that asks: the call is handed to
-    /// no more upstreams than its route allows, and runs no oftener than that.
+    /// Whatever the outcomes and nodes, with a retry for each call that asks: the call reaches
+    /// no more upstreams than its route allows, and runs no more often than that.
     #[test]
     fn no_call_runs_on_more_upstreams_than_allowed(
         max_upstreams in 1usize..4,
--- a/crates/hemlocktack-decide/tests/usual_patience.rs
+++ b/crates/hemlocktack-decide/tests/usual_patience.rs
@@ -1,4 +1,4 @@
-//! Callers who come back, told from fresh ones.
+//! Distinguishes retrying callers from new ones by their timeout.
 
 use std::time::Duration;
 
@@ -9,10 +9,9 @@
 const WHOLE: Duration = Duration::from_millis(6_000);
 const PATIENT: Duration = Duration::from_millis(9_000);
 
-/// An overload in which two of five requests are from callers who come back,
-/// each with another rest of its patience, and one of twenty is from a more
-/// patient program. The rests are told from the whole, and patient callers are
-/// not taken for a new usual.
+/// In an overload, two of five requests are retries, each with a different remaining time, and
+/// one of twenty is from a program with a longer timeout. Remaining times are recognized, and
+/// the longer timeout is not taken for the typical one.
 #[test]
 fn the_patience_met_most_is_the_whole_one() {
     let mut random = SmallRng::seed_from_u64(5);
@@ -41,8 +40,8 @@
     }
 }
 
-/// The callers' program is replaced by one with less patience: until that is
-/// known its requests look like those of callers who come back, and no longer.
+/// The calling program is replaced by one with a shorter timeout. Until that is learnt, its
+/// requests look like retries; afterwards they must not.
 #[test]
 fn another_usual_patience_is_learnt() {
     let mut patience = CallerTimeoutEstimator::default();
