--- a/crates/hemlocktack-decide/tests/admission.rs
+++ b/crates/hemlocktack-decide/tests/admission.rs
@@ -11,7 +11,7 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-const PATIENCE: Duration = Duration::from_secs(2);
+const CALLER_TIMEOUT: Duration = Duration::from_secs(2);
 const WORK: Duration = Duration::from_millis(20);
 
 fn admission(slots: u32, now: Instant) -> Admission {
@@ -24,7 +24,7 @@
     OfferedCall {
         call_id,
         class_rank,
-        deadline: now + PATIENCE,
+        deadline: now + CALLER_TIMEOUT,
         objective: None,
         has_returned: false,
         root_request_id: call_id,
@@ -125,7 +125,7 @@
     assert_eq!(admission.cancel(2), CancelResult::Dequeued);
     assert_eq!(admission.cancel(1), CancelResult::Running);
     assert_eq!(admission.cancel(9), CancelResult::UnknownCall);
-    let late = now + PATIENCE;
+    let late = now + CALLER_TIMEOUT;
     let decisions = ready(&mut admission, late);
     assert!(matches!(
         decisions[..],
@@ -155,7 +155,7 @@
 /// would shed by the level sent back, and callers would see requests refused as `shed` although
 /// the upstream is idle half of the time.
 #[test]
-fn short_queues_at_half_load_are_no_reason_to_shed() {
+fn short_queues_at_half_load_do_not_start_shedding() {
     let work = Duration::from_millis(10);
     let mut rng = SmallRng::seed_from_u64(4);
     let start = Instant::now();
@@ -204,7 +204,7 @@
 /// Announcements, drains and expired announcements arrive in any order. The admission accepts
 /// new calls exactly if the state synchronized last accepts them.
 #[test]
-fn follows_the_last_state_whatever_came_before() {
+fn accepts_calls_according_to_the_last_synchronized_state() {
     use UpstreamState::{Absent, Cold, Draining, Ready};
     let states = [Absent, Cold, Ready, Draining];
     let orders =
@@ -215,13 +215,13 @@
         for upstream in order {
             admission.sync_upstream_state(*upstream, 4, 32, now);
         }
-        let verdict = admission.offer(&offer(number as CallId, 0, now), now);
+        let decision = admission.offer(&offer(number as CallId, 0, now), now);
         let expected = match order[2] {
             Cold | Ready => None,
             Draining => Some(Reason::UpstreamDraining),
             Absent | UpstreamState::Unspecified => Some(Reason::NoUpstream),
         };
-        let refused = match verdict {
+        let refused = match decision {
             AdmissionDecision::Refused(refusal) => Some(refusal.reason),
             AdmissionDecision::Run | AdmissionDecision::Queued => None,
         };
--- a/crates/hemlocktack-decide/tests/after_overload.rs
+++ b/crates/hemlocktack-decide/tests/after_overload.rs
@@ -9,8 +9,8 @@
 use hemlocktack_protocol::Reason;
 
 const SLOTS: u32 = 100;
-const PATIENCE: Duration = Duration::from_millis(1_500);
-const OWN: Duration = Duration::from_millis(15);
+const CALLER_TIMEOUT: Duration = Duration::from_millis(1_500);
+const OWN_WORK: Duration = Duration::from_millis(15);
 /// Duration of a call while its child service is overloaded.
 const OVERLOADED: Duration = Duration::from_millis(1_300);
 
@@ -29,11 +29,11 @@
     OfferedCall {
         call_id,
         class_rank: 2,
-        deadline: now + PATIENCE,
+        deadline: now + CALLER_TIMEOUT,
         objective: None,
         has_returned: false,
         root_request_id: call_id,
-        work_spent: OWN,
+        work_spent: OWN_WORK,
         fingerprint: call_id,
         kind: 1,
     }
@@ -43,7 +43,7 @@
 fn payment(call_id: u64, now: Instant) -> OfferedCall {
     OfferedCall {
         class_rank: 0,
-        deadline: now + PATIENCE * 4,
+        deadline: now + CALLER_TIMEOUT * 4,
         work_spent: Duration::ZERO,
         kind: 2,
         ..read(call_id, now)
@@ -55,7 +55,7 @@
 /// overload has passed, no read would run to show it, and callers of lookups would be refused
 /// until the nodes restart. The estimate therefore has to decay.
 #[test]
-fn an_estimate_from_an_overload_does_not_outlive_it() {
+fn an_estimate_from_an_overload_decays_after_it() {
     let start = Instant::now();
     let mut admission = admission(start);
     for call_id in 0..8 {
@@ -66,7 +66,7 @@
     }
     let now = start + OVERLOADED;
     for call_id in 0..8 {
-        admission.finish(call_id, RunResult::Answered, OVERLOADED - OWN, now);
+        admission.finish(call_id, RunResult::Answered, OVERLOADED - OWN_WORK, now);
     }
     let mut payments = 1_000;
     while admission.offer(&payment(payments, now), now) == AdmissionDecision::Run {
--- a/crates/hemlocktack-decide/tests/edge_budget.rs
+++ b/crates/hemlocktack-decide/tests/edge_budget.rs
@@ -37,7 +37,7 @@
 /// seconds have more retries than the share of the first attempts in them or in the window that
 /// began five seconds earlier.
 #[test]
-fn a_fault_of_seconds_may_use_the_share_of_the_calls_before_it() {
+fn a_short_fault_may_use_the_share_of_the_calls_before_it() {
     let now = Instant::now();
     let edge = EdgeRetryBudget::new(POLICY, now);
     let before = [FIRST_ATTEMPTS_PER_SECOND; 12];
@@ -70,7 +70,7 @@
 /// An edge with few calls can still repeat the calls interrupted by a restart, once in ten
 /// seconds.
 #[test]
-fn a_quiet_edge_can_repeat_a_few_calls() {
+fn an_edge_with_few_calls_gets_its_minimum_retries() {
     let now = Instant::now();
     let edge = EdgeRetryBudget::new(POLICY, now);
     let take_all = |now| {
@@ -114,7 +114,7 @@
 /// needs. Instead each gets all its retries or none, even in the last second, and the requests
 /// of the most important class come first.
 #[test]
-fn a_scarce_share_goes_to_whole_requests() {
+fn a_scarce_share_is_given_to_whole_requests() {
     let now = Instant::now();
     let edge = EdgeRetryBudget::new(POLICY, now);
     play(&edge, now, &[FIRST_ATTEMPTS_PER_SECOND; 10], 0);
@@ -134,7 +134,7 @@
 /// One upstream of three rejects half of its calls for a long time. The retries needed are
 /// within the share, so every lookup gets its retry.
 #[test]
-fn a_fault_within_the_share_is_answered_whole() {
+fn a_fault_within_the_share_gets_all_its_retries() {
     let now = Instant::now();
     let edge = EdgeRetryBudget::new(POLICY, now);
     play(&edge, now, &[FIRST_ATTEMPTS_PER_SECOND; 10], 0);
--- a/crates/hemlocktack-decide/tests/edge_budgets.rs
+++ b/crates/hemlocktack-decide/tests/edge_budgets.rs
@@ -67,7 +67,7 @@
 /// too few to earn a retry by its share, and uses its minimum number of retries. The operators
 /// limit the sum over all nodes, so the minimum of one node has to shrink as their number grows.
 #[test]
-fn many_nodes_with_a_few_calls_each_stay_within_what_operators_allow_together() {
+fn many_nodes_with_few_calls_stay_within_the_fleet_limit() {
     for (nodes, min_retries) in [(17, 57), (74, 69), (560, 57)] {
         let allowed = FleetRetryLimits {
             share_per_mille: 200,
@@ -86,7 +86,7 @@
 /// failure. A node that had used up its retries must not get a new budget, or its retries would
 /// hit the service while it starts.
 #[test]
-fn a_service_that_comes_back_finds_its_retries_spent() {
+fn a_returning_service_keeps_its_used_budget() {
     let allowed = FleetRetryLimits {
         share_per_mille: 200,
         min_retries: 57,
@@ -104,7 +104,7 @@
 /// The same for a service whose nodes did not change for an hour; a service that does not return
 /// is forgotten eventually.
 #[test]
-fn an_old_edge_outlives_its_service_as_a_young_one_does() {
+fn an_old_edge_is_kept_for_a_while_and_then_forgotten() {
     let begin = Instant::now();
     let mut budgets = budgets_of_fleet(FleetRetryLimits::default(), 1).remove(0);
     budgets.edge(&service(), begin);
--- a/crates/hemlocktack-decide/tests/fresh_beside_deeper.rs
+++ b/crates/hemlocktack-decide/tests/fresh_beside_deeper.rs
@@ -13,7 +13,7 @@
 const CHECK: Duration = Duration::from_millis(22);
 const CANCELLATION: Duration = Duration::from_millis(72);
 const OBJECTIVE: Duration = Duration::from_millis(250);
-const PATIENCE: Duration = Duration::from_secs(5);
+const CALLER_TIMEOUT: Duration = Duration::from_secs(5);
 const STEP: Duration = Duration::from_millis(1);
 /// A fifth more checks than the slots finish per second (0.94 * 20 / 22 ms).
 const CHECKS_A_STEP: f64 = 1.03;
@@ -59,7 +59,12 @@
     OfferedCall {
         call_id,
         class_rank: 2,
-        deadline: now + if is_deeper { PATIENCE } else { OBJECTIVE * 4 },
+        deadline: now
+            + if is_deeper {
+                CALLER_TIMEOUT
+            } else {
+                OBJECTIVE * 4
+            },
         objective: (!is_deeper).then(|| now + OBJECTIVE),
         has_returned: false,
         root_request_id: call_id,
@@ -73,7 +78,7 @@
 /// of all fresh requests. Cancellations are 3 % of the work and of the same class. Without a
 /// turn of their own they would all be refused (0 of 40 start).
 #[test]
-fn a_few_fresh_requests_have_their_turn_beside_deeper_calls() {
+fn a_few_fresh_requests_get_their_turn_beside_child_calls() {
     let policy = AdmissionPolicy {
         objective: Some(ObjectiveLimitPolicy::default()),
         ..AdmissionPolicy::default()
--- a/crates/hemlocktack-decide/tests/link_watch.rs
+++ b/crates/hemlocktack-decide/tests/link_watch.rs
@@ -11,58 +11,63 @@
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
     let mut watch = LinkMonitor::new(LinkMonitorPolicy::default());
-    let mut asked = Vec::new();
+    let mut echo_requests = Vec::new();
     let mut now_ms = 0;
     while now_ms <= until_ms {
-        let heard_ms = heard_at(&asked).filter(|heard_ms| *heard_ms <= now_ms);
+        let heard_ms = heard_at(&echo_requests).filter(|heard_ms| *heard_ms <= now_ms);
         let next = match watch.check(at(heard_ms.unwrap_or(0)), at(now_ms)) {
-            LinkAction::Lost => return (asked, Some(now_ms)),
+            LinkAction::Lost => return (echo_requests, Some(now_ms)),
             LinkAction::Wait(until) => until,
             LinkAction::RequestEcho(until) => {
-                asked.push(now_ms);
+                echo_requests.push(now_ms);
                 until
             }
         };
         now_ms = (next - start).as_millis() as u64;
     }
-    (asked, None)
+    (echo_requests, None)
 }
 
 /// The peer loses power during a call. The caller must not wait for its full timeout: the loss
 /// is detected within half a second, early enough to use another node.
 #[test]
 fn a_silent_peer_is_noticed_within_half_a_second() {
-    let (asked, lost) = watch(|_| None, 10_000);
-    assert_eq!(asked, [150]);
+    let (echo_requests, lost) = watch(|_| None, 10_000);
+    assert_eq!(echo_requests, [150]);
     assert_eq!(lost, Some(420));
 }
 
 /// The upstream takes seconds for one call while its node is healthy: the node answers each echo
 /// request, so the call continues.
 #[test]
-fn a_slow_upstream_behind_a_living_node_is_waited_for() {
-    let echoed = |asked: &[u64]| asked.last().map(|asked| asked + 2);
-    let (asked, lost) = watch(echoed, 10_000);
+fn a_slow_upstream_of_a_responsive_node_does_not_lose_the_link() {
+    let echoed =
+        |echo_requests: &[u64]| echo_requests.last().map(|echo_requests| echo_requests + 2);
+    let (echo_requests, lost) = watch(echoed, 10_000);
     assert_eq!(lost, None);
-    assert!(asked.len() > 20, "{asked:?}");
+    assert!(echo_requests.len() > 20, "{echo_requests:?}");
 }
 
 /// One packet is lost and arrives with the retransmission 200 ms later.
 #[test]
-fn one_lost_packet_is_no_lost_peer() {
-    let late = |asked: &[u64]| asked.last().map(|asked| asked + 210);
+fn one_lost_packet_does_not_lose_the_link() {
+    let late = |echo_requests: &[u64]| {
+        echo_requests
+            .last()
+            .map(|echo_requests| echo_requests + 210)
+    };
     assert_eq!(watch(late, 5_000).1, None);
 }
 
 /// This node was suspended for seconds; the echo received meanwhile is read only after the first
 /// check.
 #[test]
-fn what_lies_unread_counts_before_a_link_is_lost() {
+fn unread_data_is_considered_before_a_link_is_lost() {
     let start = Instant::now();
     let mut watch = LinkMonitor::new(LinkMonitorPolicy::default());
-    let asked = start + Duration::from_millis(150);
+    let echo_requests = start + Duration::from_millis(150);
     assert!(matches!(
-        watch.check(start, asked),
+        watch.check(start, echo_requests),
         LinkAction::RequestEcho(_)
     ));
     let woken = start + Duration::from_secs(5);
--- a/crates/hemlocktack-decide/tests/moves.rs
+++ b/crates/hemlocktack-decide/tests/moves.rs
@@ -19,7 +19,7 @@
 /// any of the first three has not run anywhere, so the entry tries further nodes instead of
 /// returning it to the caller.
 #[test]
-fn a_call_that_reaches_nobody_goes_on_to_the_next() {
+fn a_call_to_unreachable_nodes_is_moved_up_to_three_times() {
     let lost = [Reason::LinkLost; 4];
     assert_eq!(moves(&lost), [true, true, true, false]);
 }
--- a/crates/hemlocktack-decide/tests/objectives.rs
+++ b/crates/hemlocktack-decide/tests/objectives.rs
@@ -10,7 +10,7 @@
 /// Usable slots of 92, since some upstreams slow down when they are nearly full.
 const FILLED_SLOTS: u32 = 86;
 const OBJECTIVE: Duration = Duration::from_millis(1_500);
-const PATIENCE: Duration = Duration::from_secs(6);
+const CALLER_TIMEOUT: Duration = Duration::from_secs(6);
 const OWN_WORK: Duration = Duration::from_millis(90);
 
 fn admission(now: Instant) -> Admission {
@@ -27,7 +27,7 @@
     OfferedCall {
         call_id,
         class_rank: 2,
-        deadline: now + PATIENCE,
+        deadline: now + CALLER_TIMEOUT,
         objective: Some(now + OBJECTIVE),
         has_returned: false,
         root_request_id: call_id,
@@ -57,8 +57,8 @@
             admission.finish(call_id, RunResult::Answered, run - own, now);
         }
         let mut decisions = Vec::new();
-        admission.take_decisions(now + PATIENCE, &mut decisions);
-        now += PATIENCE;
+        admission.take_decisions(now + CALLER_TIMEOUT, &mut decisions);
+        now += CALLER_TIMEOUT;
         for call_id in 1..=next_call {
             admission.cancel(call_id);
             admission.finish(call_id, RunResult::Cancelled, Duration::ZERO, now);
@@ -72,7 +72,7 @@
 /// With lower concurrency each waits less, so the limit is lowered until runs take six tenths of
 /// the objective; the remaining calls are refused before any work is done.
 #[test]
-fn waiting_below_lowers_the_limit() {
+fn waiting_for_child_calls_lowers_the_limit() {
     let limits = run_rounds(3, OWN_WORK, Duration::from_millis(1_300));
     assert!(limits[0] < SLOTS * 7 / 10, "{limits:?}");
     assert!(limits[2] < limits[0], "{limits:?}");
@@ -112,7 +112,7 @@
 /// left than a run takes. Its answer would be late in any case; a first attempt in its place is
 /// answered in time.
 #[test]
-fn who_came_back_too_late_does_not_take_the_place_of_a_fresh_request() {
+fn a_retry_that_would_be_late_does_not_displace_a_first_attempt() {
     let run = Duration::from_millis(600);
     let (mut admission, now) = busy(run, Instant::now());
     let returned = OfferedCall {
@@ -120,10 +120,10 @@
         has_returned: true,
         ..offer(2_000, now)
     };
-    let verdict = admission.offer(&returned, now);
+    let decision = admission.offer(&returned, now);
     assert!(
-        matches!(verdict, AdmissionDecision::Refused(_)),
-        "{verdict:?}"
+        matches!(decision, AdmissionDecision::Refused(_)),
+        "{decision:?}"
     );
     let in_time = OfferedCall {
         objective: Some(now + Duration::from_millis(900)),
@@ -139,7 +139,7 @@
 /// A refused caller is told a Retry-After after which it can still be answered in time: a run
 /// takes 0.6 of 1.5 s.
 #[test]
-fn a_refused_caller_is_sent_away_for_no_longer_than_it_can_use() {
+fn retry_after_leaves_time_for_the_run() {
     let run = Duration::from_millis(600);
     let (mut admission, now) = busy(run, Instant::now());
     let slack = OBJECTIVE - run;
@@ -159,7 +159,7 @@
 /// time. Judged by the answers alone, the limit would stay as it is, and the child service would
 /// keep working for requests that fail. With a lower limit most requests are answered.
 #[test]
-fn requests_that_found_no_room_below_lower_the_limit() {
+fn child_calls_refused_for_capacity_lower_the_limit() {
     let mut now = Instant::now();
     let mut admission = admission(now);
     let run = Duration::from_millis(400);
@@ -192,7 +192,7 @@
 /// limit has to rise again: held at its minimum, three of four requests that could be served
 /// would be refused.
 #[test]
-fn a_long_chain_is_not_held_at_the_least_limit() {
+fn a_long_chain_is_not_held_at_the_minimum_limit() {
     let free = Duration::from_millis(800);
     let mut now = Instant::now();
     let mut admission = admission(now);
--- a/crates/hemlocktack-decide/tests/operators_limits.rs
+++ b/crates/hemlocktack-decide/tests/operators_limits.rs
@@ -26,7 +26,7 @@
 /// The operators set the queue limit to 0 while one call is queued. That call was accepted and
 /// still runs; the next one is refused at once.
 #[test]
-fn a_smaller_queue_keeps_what_waits_and_takes_no_more() {
+fn a_smaller_queue_limit_keeps_queued_calls() {
     let now = Instant::now();
     let mut admission = Admission::new(AdmissionPolicy::default(), now);
     admission.announced(1, 8, false, now);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_share_of_nothing_earns_no_more_retries() {
+fn a_share_of_zero_allows_no_more_retries() {
     let now = Instant::now();
     let policy = RetryPolicy {
         min_retries: 1,
@@ -66,7 +66,7 @@
 /// The duration of the quarantine follows the operators' setting even if it changes after the
 /// crashes.
 #[test]
-fn the_time_in_quarantine_is_the_operators() {
+fn the_quarantine_time_follows_the_operators_setting() {
     let now = Instant::now();
     let mut admission = Admission::new(AdmissionPolicy::default(), now);
     let quarantine = admission.quarantine();
--- a/crates/hemlocktack-decide/tests/placement.rs
+++ b/crates/hemlocktack-decide/tests/placement.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn the_near_data_centre_goes_first_until_it_is_nearly_full() {
+fn the_local_data_centre_is_preferred_until_nearly_full() {
     let now = Instant::now();
     assert_eq!(
         shares(&peers(&[(true, 10), (false, 0)], now), now),
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn peers_that_are_absent_draining_or_just_refused_are_passed_over() {
+fn absent_draining_and_refusing_peers_are_avoided() {
     let now = Instant::now();
     let peers = peers(&[(true, 0), (true, 0), (true, 0)], now);
     peers[0].set_state(UpstreamState::Draining);
@@ -91,7 +91,7 @@
 /// abnormal. Calls that wait there are given up only once membership suspects it too: an idle
 /// peer may run one long call, which would then run twice.
 #[test]
-fn a_silent_peer_is_passed_over_and_lost_only_when_suspected() {
+fn a_silent_peer_is_avoided_and_lost_only_when_suspected() {
     let now = Instant::now();
     let peers = peers(&[(true, 0), (true, 30)], now);
     peers[0].sent(now);
@@ -107,7 +107,7 @@
 /// Two local machines are old and take three times as long as those of another data centre.
 /// Callers would be refused because of their latency while the faster ones have spare capacity.
 #[test]
-fn a_quick_upstream_far_away_goes_before_a_slow_near_one() {
+fn a_fast_remote_upstream_is_preferred_to_a_slow_local_one() {
     let now = Instant::now();
     let peers = peers(&[(true, 10), (true, 10), (false, 10)], now);
     for slow in &peers[..2] {
@@ -125,7 +125,7 @@
 /// A peer lost power. Each call sent to it waits in vain, so it is tried less and less often
 /// while it fails, and normally again once it has answered.
 #[test]
-fn a_peer_that_fails_whenever_it_is_tried_is_tried_less_often() {
+fn a_peer_that_keeps_failing_is_tried_less_often() {
     let start = Instant::now();
     let peers = peers(&[(true, 0), (false, 0)], start);
     let policy = PlacementPolicy::default();
@@ -155,7 +155,7 @@
 /// A local node has resumed after being suspended, and the latency of its last calls counts
 /// against it. Without further calls it could never show that it has recovered.
 #[test]
-fn an_idle_near_peer_is_tried_however_slow_it_was() {
+fn an_idle_local_peer_is_tried_however_slow_it_was() {
     let now = Instant::now();
     let peers = peers(&[(true, 0), (false, 10)], now);
     let slow = LoadHint {
@@ -173,7 +173,7 @@
 /// calls of all data centres. A cancellation with an objective of a quarter of a second goes to
 /// the fast one.
 #[test]
-fn a_slower_near_upstream_goes_first_where_its_answer_is_in_time() {
+fn a_slower_local_upstream_is_preferred_if_fast_enough() {
     let now = Instant::now();
     let peers = peers(&[(true, 20), (false, 20)], now);
     for (peer, service_time_us) in peers.iter().zip([31_000, 14_000]) {
@@ -198,7 +198,7 @@
 /// first that answers a few calls must not attract all of them: the other one would get no calls
 /// to show that it has recovered.
 #[test]
-fn failures_of_both_are_forgotten_when_the_fault_has_passed() {
+fn failures_decay_after_a_fault_of_all_upstreams() {
     let now = Instant::now();
     let peers = peers(&[(true, 10), (true, 10)], now);
     for peer in &peers {
@@ -225,7 +225,7 @@
 /// the local machine at their deadline. Once it has recovered, all its slots are free. If
 /// abandoned calls stayed counted, every later call would go to another data centre permanently.
 #[test]
-fn calls_that_were_left_do_not_make_a_peer_look_full() {
+fn abandoned_calls_do_not_make_a_peer_look_full() {
     let now = Instant::now();
     let peers = peers(&[(true, 0), (false, 30)], now);
     for _ in 0..200 {
@@ -239,7 +239,7 @@
 /// its health check succeeds. It is always nearly idle and would be preferred for every call. It
 /// still has to be tried occasionally, or it could never show that it has recovered.
 #[test]
-fn an_idle_near_upstream_that_turns_calls_away_is_tried_seldom() {
+fn an_idle_local_upstream_that_rejects_calls_is_tried_rarely() {
     let start = Instant::now();
     let peers = peers(&[(true, 0), (false, 10)], start);
     let policy = PlacementPolicy::default();
--- a/crates/hemlocktack-decide/tests/quarantine.rs
+++ b/crates/hemlocktack-decide/tests/quarantine.rs
@@ -9,7 +9,7 @@
 };
 use hemlocktack_protocol::{Fingerprint, Reason};
 
-const GUILTY: Fingerprint = 666;
+const CRASHING: Fingerprint = 666;
 
 fn admission(now: Instant) -> Admission {
     let mut admission = Admission::new(AdmissionPolicy::default(), now);
@@ -37,7 +37,7 @@
     decisions
 }
 
-fn tell(from: &mut Admission, to: &mut Admission, now: Instant) {
+fn exchange_updates(from: &mut Admission, to: &mut Admission, now: Instant) {
     for suspect in from.quarantine().take_updates() {
         to.quarantine().learn(suspect, now);
     }
@@ -50,8 +50,8 @@
 fn a_request_that_crashes_upstreams_is_refused_after_the_second_crash() {
     let now = Instant::now();
     let mut upstreams = [admission(now), admission(now), admission(now)];
-    let innocents = [1, 2, 3];
-    for fingerprint in innocents.into_iter().chain([GUILTY]) {
+    let harmless_requests = [1, 2, 3];
+    for fingerprint in harmless_requests.into_iter().chain([CRASHING]) {
         let offer = offer(fingerprint, fingerprint, now);
         assert_eq!(upstreams[0].offer(&offer, now), AdmissionDecision::Run);
     }
@@ -59,8 +59,8 @@
     upstreams[0].crashed(&mut ended, now);
     assert_eq!(ended.len(), 4);
     let [first, second, third] = &mut upstreams;
-    let news = first.quarantine().take_updates();
-    for suspect in news {
+    let updates = first.quarantine().take_updates();
+    for suspect in updates {
         second.quarantine().learn(suspect, now);
         third.quarantine().learn(suspect, now);
     }
@@ -70,29 +70,29 @@
         second.offer(&offer(10, 99, now), now),
         AdmissionDecision::Run
     );
-    for fingerprint in innocents.into_iter().chain([GUILTY]) {
+    for fingerprint in harmless_requests.into_iter().chain([CRASHING]) {
         let offer = offer(fingerprint, fingerprint, now);
         assert_eq!(second.offer(&offer, now), AdmissionDecision::Queued);
     }
-    for innocent in innocents {
-        assert_eq!(ready(second, now), [QueueDecision::Run(innocent)]);
-        second.finish(innocent, RunResult::Answered, Duration::ZERO, now);
+    for harmless in harmless_requests {
+        assert_eq!(ready(second, now), [QueueDecision::Run(harmless)]);
+        second.finish(harmless, RunResult::Answered, Duration::ZERO, now);
         assert_eq!(
-            second.quarantine().status(innocent, now),
+            second.quarantine().status(harmless, now),
             QuarantineStatus::Clear
         );
     }
-    assert_eq!(ready(second, now), [QueueDecision::Run(GUILTY)]);
+    assert_eq!(ready(second, now), [QueueDecision::Run(CRASHING)]);
     second.crashed(&mut ended, now);
-    tell(second, third, now);
+    exchange_updates(second, third, now);
 
-    let AdmissionDecision::Refused(refusal) = third.offer(&offer(20, GUILTY, now), now) else {
+    let AdmissionDecision::Refused(refusal) = third.offer(&offer(20, CRASHING, now), now) else {
         panic!("refused everywhere");
     };
     assert_eq!(refusal.reason, Reason::Quarantined);
-    for innocent in innocents.into_iter().chain([99]) {
+    for harmless in harmless_requests.into_iter().chain([99]) {
         assert_eq!(
-            third.offer(&offer(innocent, innocent, now), now),
+            third.offer(&offer(harmless, harmless, now), now),
             AdmissionDecision::Run
         );
     }
@@ -101,20 +101,20 @@
 /// Copies of the request are queued when it is quarantined. They must not run although they were
 /// accepted before.
 #[test]
-fn a_copy_that_waits_is_refused_once_the_request_is_convicted() {
+fn a_queued_copy_of_a_quarantined_request_is_refused() {
     let now = Instant::now();
     let mut upstream = admission(now);
-    upstream.quarantine().crashed(None, &[1, GUILTY], now);
+    upstream.quarantine().crashed(None, &[1, CRASHING], now);
     assert_eq!(
         upstream.offer(&offer(1, 1, now), now),
         AdmissionDecision::Queued
     );
     assert_eq!(
-        upstream.offer(&offer(2, GUILTY, now), now),
+        upstream.offer(&offer(2, CRASHING, now), now),
         AdmissionDecision::Queued
     );
     assert_eq!(ready(&mut upstream, now), [QueueDecision::Run(1)]);
-    upstream.quarantine().crashed(Some(GUILTY), &[], now);
+    upstream.quarantine().crashed(Some(CRASHING), &[], now);
     upstream.finish(1, RunResult::Answered, Duration::ZERO, now);
     let decisions = ready(&mut upstream, now);
     assert!(matches!(
@@ -127,7 +127,7 @@
 /// request was its only suspect. The quarantine ends, the request runs once more as a suspect,
 /// and its answer clears it.
 #[test]
-fn no_conviction_is_for_good() {
+fn a_quarantine_ends_and_can_be_cleared() {
     let policy = QuarantinePolicy::default();
     let mut now = Instant::now();
     let mut quarantine = Quarantine::new(policy);
@@ -144,12 +144,12 @@
 }
 
 #[test]
-fn the_table_stays_bounded_and_keeps_convictions() {
+fn the_table_stays_bounded_and_keeps_quarantined_requests() {
     let now = Instant::now();
     let mut quarantine = Quarantine::new(QuarantinePolicy::default());
-    quarantine.crashed(None, &[GUILTY], now);
-    quarantine.crashed(Some(GUILTY), &[], now);
+    quarantine.crashed(None, &[CRASHING], now);
+    quarantine.crashed(Some(CRASHING), &[], now);
     let others: Vec<_> = (1000..4000).collect();
     quarantine.crashed(None, &others, now + Duration::from_secs(1));
-    assert_eq!(quarantine.refused(now), [GUILTY]);
+    assert_eq!(quarantine.refused(now), [CRASHING]);
 }
--- a/crates/hemlocktack-decide/tests/retry.rs
+++ b/crates/hemlocktack-decide/tests/retry.rs
@@ -70,7 +70,7 @@
 fn a_lost_child_leaves_the_entry_its_own_retry() {
     let allowance = RetryAllowance::with_entry_share(1, 1);
     let edge = EdgeRetryBudget::new(RetryPolicy::default(), Instant::now());
-    let verdicts = [(); 2].map(|()| {
+    let decisions = [(); 2].map(|()| {
         // Lost with the child.
         allowance.grant_to_child();
         let lost = CallFailure::Unknown(Reason::LinkLost);
@@ -85,13 +85,13 @@
         )
     });
     let expected = [RetryDecision::Retry, RetryDecision::AllowanceSpent];
-    assert_eq!(verdicts, expected);
+    assert_eq!(decisions, expected);
 }
 
 /// The rest that an answered child returns stays reserved for child calls: the entry sends a
 /// request to no more nodes than its own retries allow.
 #[test]
-fn what_a_child_gives_back_is_not_spent_at_the_entry() {
+fn retries_returned_by_a_child_are_not_spent_at_the_entry() {
     let allowance = RetryAllowance::with_entry_share(1, 4);
     let given = allowance.grant_to_child();
     allowance.return_unspent(given, given);
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_child_cannot_give_back_more_than_it_got() {
+fn a_child_cannot_return_more_than_it_got() {
     let allowance = RetryAllowance::new(3);
     let given = allowance.grant_to_child();
     allowance.return_unspent(1000, given);
@@ -127,8 +127,8 @@
         (CallFailure::Unknown(Reason::UpstreamFailed), false),
         (CallFailure::Unknown(Reason::Timeout), true),
     ];
-    let verdicts = cases.map(|(unfinished, idempotent)| {
-        let verdict = decide_retry(
+    let decisions = cases.map(|(unfinished, idempotent)| {
+        let decision = decide_retry(
             &unfinished,
             idempotent,
             Duration::from_secs(1),
@@ -139,9 +139,9 @@
             ),
             Instant::now(),
         );
-        format!("{unfinished}, idempotent {idempotent}: {verdict:?}")
+        format!("{unfinished}, idempotent {idempotent}: {decision:?}")
     });
-    insta::assert_snapshot!(verdicts.join("\n"));
+    insta::assert_snapshot!(decisions.join("\n"));
 }
 
 /// A node is killed and quickly restarted at its address. A lookup in flight to it ends
@@ -149,7 +149,7 @@
 /// booking is not.
 #[test]
 fn a_lookup_on_a_restarted_node_is_sent_again() {
-    let verdict = |idempotent| {
+    let decision = |idempotent| {
         decide_retry(
             &CallFailure::Unknown(Reason::HomeGone),
             idempotent,
@@ -162,8 +162,8 @@
             Instant::now(),
         )
     };
-    assert_eq!(verdict(true), RetryDecision::Retry);
-    assert_eq!(verdict(false), RetryDecision::PassUp);
+    assert_eq!(decision(true), RetryDecision::Retry);
+    assert_eq!(decision(false), RetryDecision::PassUp);
 }
 
 /// A service two hops below the entry rejects every other call whatever its load, and a lookup
@@ -171,9 +171,9 @@
 /// seven would fail. The entry's single retry, kept for sends that may have run, is still
 /// available in the end.
 #[test]
-fn a_lookup_gets_its_four_answers_where_every_other_call_is_turned_away() {
+fn a_lookup_gets_its_four_answers_if_every_other_call_is_rejected() {
     const FOR_CHAIN: u32 = 24;
-    let turned_away = CallFailure::NotRun(Refusal {
+    let rejected = CallFailure::NotRun(Refusal {
         reason: Reason::UpstreamShed,
         retry_after: None,
     });
@@ -186,15 +186,15 @@
         let given = deep.grant_to_child();
         deep.return_unspent(given, given);
         let (left, expected) = (Duration::from_secs(1), Duration::from_millis(22));
-        let verdict = decide_retry(
-            &turned_away,
+        let decision = decide_retry(
+            &rejected,
             false,
             left,
             expected,
             &budget(&deep, &edge),
             Instant::now(),
         );
-        answers += u32::from(verdict == RetryDecision::Retry);
+        answers += u32::from(decision == RetryDecision::Retry);
     }
     assert_eq!(answers, 4);
     assert_eq!(entry.left_for_own_sends(), 1);
@@ -204,7 +204,7 @@
 fn a_spent_allowance_or_too_little_time_ends_the_retries() {
     let unfinished = CallFailure::Unknown(Reason::LinkLost);
     let edge = EdgeRetryBudget::new(RetryPolicy::default(), Instant::now());
-    let verdict = |left, allowance: u32| {
+    let decision = |left, allowance: u32| {
         let allowance = RetryAllowance::new(allowance);
         let expected = Duration::from_millis(100);
         decide_retry(
@@ -217,14 +217,14 @@
         )
     };
     assert_eq!(
-        verdict(Duration::from_secs(1), 0),
+        decision(Duration::from_secs(1), 0),
         RetryDecision::AllowanceSpent
     );
     assert_eq!(
-        verdict(Duration::from_millis(99), 1),
+        decision(Duration::from_millis(99), 1),
         RetryDecision::TooLate
     );
-    assert_eq!(verdict(Duration::from_secs(1), 1), RetryDecision::Retry);
+    assert_eq!(decision(Duration::from_secs(1), 1), RetryDecision::Retry);
 }
 
 /// The first send fails with its upstream, and the retry is refused. If `not-run` were reported,
--- a/crates/hemlocktack-decide/tests/sends.rs
+++ b/crates/hemlocktack-decide/tests/sends.rs
@@ -38,7 +38,7 @@
 /// left for twenty more sends, and the route allows two upstreams. A third upstream does not get
 /// the call, and no retry is taken for a send that does not happen.
 #[test]
-fn a_call_stops_at_its_own_route_whatever_its_chain_has_left() {
+fn a_call_stops_at_the_limit_of_its_route() {
     let mut sends = CallSends::new(2);
     assert_eq!(step(&mut sends, 0, &LOST), NextStep::Retried);
     let never = || unreachable!("a retry is asked for");
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn what_follows_each_end() {
+fn next_step_after_each_failure() {
     use NextStep::{Moved, Retried, UpstreamsUsedUp};
     assert_eq!(steps(1, &[LOST]), [UpstreamsUsedUp]);
     // A node that refuses the call has not handed it to its upstream.
@@ -68,17 +68,17 @@
 
 /// Each retry decision maps to its own reason for returning the call.
 #[test]
-fn each_verdict_has_a_step_of_its_own() {
+fn each_retry_decision_has_its_own_next_step() {
     let cases = [
         (RetryDecision::PassUp, NextStep::PassedUp),
         (RetryDecision::TooLate, NextStep::TooLate),
         (RetryDecision::AllowanceSpent, NextStep::AllowanceUsedUp),
         (RetryDecision::EdgeSpent, NextStep::EdgeUsedUp),
     ];
-    for (verdict, step) in cases {
+    for (decision, step) in cases {
         let mut sends = CallSends::new(2);
         sends.send_ended(0, &LOST);
-        assert_eq!(sends.next_step(&LOST, true, || verdict), step);
+        assert_eq!(sends.next_step(&LOST, true, || decision), step);
     }
 }
 
@@ -97,7 +97,7 @@
 /// Two upstreams have rejected a call and its route allows no third: only these two may get it
 /// again, and the last one only if no other is left.
 #[test]
-fn only_upstreams_that_turned_it_away_may_get_it_again() {
+fn only_upstreams_that_rejected_a_call_may_get_it_again() {
     let mut sends = CallSends::new(2);
     sends.send_ended(0, &REJECTED);
     sends.send_ended(1, &REJECTED);
