--- a/crates/hemlocktack-decide/examples/scenarios/driver/arena.rs
+++ b/crates/hemlocktack-decide/examples/scenarios/driver/arena.rs
@@ -1,4 +1,4 @@
-//! Calls and requests under way.
+//! Calls and requests in progress.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,28 +10,28 @@
 pub(crate) type CallKey = u64;
 pub(crate) type RequestKey = u64;
 
-/// How a call ended, as the side that made it sees it.
+/// How a call ended, as seen by the side that made it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallEnd {
-    /// Answered whole.
+    /// Complete answer.
     Answered,
-    /// Refused here: it did not run.
+    /// Refused; it did not run.
     Refused(Refusal),
-    /// It ran, but a deeper call did not come to an answer.
-    FailedBelow,
-    /// The upstream died while it ran.
+    /// It ran, but a child call was not answered.
+    ChildFailed,
+    /// The upstream crashed while it ran.
     Crashed,
 }
 
-/// Where a call is.
+/// Where a call currently is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Place {
-    /// On its way, or back.
-    Travelling,
-    /// Waits at the upstream's node.
+pub(crate) enum CallLocation {
+    /// Between nodes, in either direction.
+    InTransit,
+    /// Queued at the upstream's node.
     Queued,
-    /// Inside the upstream.
-    Inside,
+    /// In the upstream, running or waiting.
+    InUpstream,
 }
 
 #[derive(Debug)]
@@ -43,34 +43,33 @@
     /// Root call of the attempt.
     pub(crate) root: CallKey,
     pub(crate) deadline: Duration,
-    /// Node on whose caller side the call is made.
+    /// Node that makes the call.
     pub(crate) from: usize,
-    /// Upstream that it was put on.
+    /// Upstream the call was placed on.
     pub(crate) upstream: usize,
-    pub(crate) place: Place,
-    /// Number of the send; messages of earlier ones are void.
+    pub(crate) location: CallLocation,
+    /// Number of the send; messages of earlier sends are ignored.
     pub(crate) send: u32,
     pub(crate) moved: bool,
-    /// A send of it died with its upstream: its outcome is unknown.
+    /// A send of the call was lost in a crash, so its outcome is unknown.
     pub(crate) may_have_run: bool,
-    /// Work that the chain had spent when this call was made.
+    /// Work that the chain had done when this call was made.
     pub(crate) work_before: Duration,
     pub(crate) own_done: Duration,
-    pub(crate) time_below: Duration,
-    pub(crate) deeper_done: usize,
-    pub(crate) deeper_call: Option<CallKey>,
-    pub(crate) deeper_since: Duration,
-    /// Phase of work that runs; events of earlier ones are void.
+    pub(crate) child_wait: Duration,
+    pub(crate) children_done: usize,
+    pub(crate) child_call: Option<CallKey>,
+    pub(crate) child_since: Duration,
+    /// Current phase of work; events of earlier phases are ignored.
     pub(crate) phase: u32,
     pub(crate) phase_work: Duration,
     pub(crate) phase_since: Duration,
-    /// Allowance that this call and its siblings draw from, on the node that
-    /// makes them.
+    /// Allowance shared by this call and its siblings, on the node that makes them.
     pub(crate) allowance: Arc<RetryAllowance>,
-    /// What went away with this call.
-    pub(crate) given: u32,
-    /// The same on the upstream's node, for deeper calls.
-    pub(crate) inner: Arc<RetryAllowance>,
+    /// Retries sent with this call.
+    pub(crate) granted: u32,
+    /// Allowance for child calls, on the upstream's node.
+    pub(crate) child_allowance: Arc<RetryAllowance>,
     /// Work of the whole attempt; kept in its root call.
     pub(crate) attempt_work: Duration,
     pub(crate) is_long: bool,
--- a/crates/hemlocktack-decide/examples/scenarios/driver/callers.rs
+++ b/crates/hemlocktack-decide/examples/scenarios/driver/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: they send, wait as long as their patience lasts and send again.
+//! Callers: they send requests, time out and retry.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,11 +6,11 @@
 use hemlocktack_decide::RetryAllowance;
 use rand::RngExt;
 
-use super::arena::{Call, CallEnd, CallKey, Place, Request, RequestKey};
+use super::arena::{Call, CallEnd, CallKey, CallLocation, Request, RequestKey};
 use super::scenario::{LONG_ONE_IN, Policy};
-use super::world::{ALLOWANCE, Event, World};
+use super::world::{ALLOWANCE, Event, Simulation};
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(crate) fn new_request(&mut self, kind: usize, crashes_upstreams: bool) {
         let key = self.arena.next_key();
         let request = Request {
@@ -26,10 +26,10 @@
         };
         self.arena.requests.insert(key, request);
         if !crashes_upstreams {
-            let pressed = self.scenario.is_pressed(self.at);
+            let under_pressure = self.scenario.is_under_pressure(self.at);
             let outcome = &mut self.outcomes.kinds[kind];
             outcome.arrived += 1;
-            outcome.pressed += u64::from(pressed);
+            outcome.under_pressure += u64::from(under_pressure);
             let at = self.at;
             if let Some(bin) = self.outcomes.bin(at) {
                 bin.arrived += 1;
@@ -38,7 +38,7 @@
         self.send(key);
     }
 
-    /// One send: a root call on its way to the entry node.
+    /// Sends a request: a root call goes to its entry node.
     pub(crate) fn send(&mut self, key: RequestKey) {
         let entry = self.draw_entry();
         let call_key = self.arena.next_key();
@@ -59,49 +59,50 @@
             step: kind.root,
             parent: None,
             root: call_key,
-            deadline: self.at + kind.patience,
+            deadline: self.at + kind.timeout,
             from: entry,
             upstream: entry,
-            place: Place::Travelling,
+            location: CallLocation::InTransit,
             send: 0,
             moved: false,
             may_have_run: false,
             work_before: Duration::ZERO,
             own_done: Duration::ZERO,
-            time_below: Duration::ZERO,
-            deeper_done: 0,
-            deeper_call: None,
-            deeper_since: Duration::ZERO,
+            child_wait: Duration::ZERO,
+            children_done: 0,
+            child_call: None,
+            child_since: Duration::ZERO,
             phase: 0,
             phase_work: Duration::ZERO,
             phase_since: Duration::ZERO,
             allowance: Arc::new(RetryAllowance::new(ALLOWANCE)),
-            inner: Arc::new(RetryAllowance::new(0)),
-            given: 0,
+            child_allowance: Arc::new(RetryAllowance::new(0)),
+            granted: 0,
             attempt_work: Duration::ZERO,
             is_long: is_long && request.kind + 1 == self.deployment.kinds.len(),
         };
-        let patience = kind.patience;
+        let timeout = kind.timeout;
         self.arena.calls.insert(call_key, call);
         self.schedule(self.deployment.client_delay, Event::AtEntry(call_key));
-        self.schedule(patience, Event::GivesUp(key, attempt));
+        self.schedule(timeout, Event::CallerTimeout(key, attempt));
     }
 
     fn draw_entry(&mut self) -> usize {
         loop {
             let node = self.rng.random_range(0..self.nodes.len());
-            let pressed = self.scenario.skewed_entry && self.scenario.is_pressed(self.at);
+            let under_pressure =
+                self.scenario.skewed_entry && self.scenario.is_under_pressure(self.at);
             if self.frozen.contains(&node) {
                 continue;
             }
-            if !pressed || self.nodes[node].upstream.data_centre == 0 {
+            if !under_pressure || self.nodes[node].upstream.data_centre == 0 {
                 return node;
             }
         }
     }
 
-    /// The root call has ended at its entry; the caller hears of it.
-    pub(crate) fn end_root(&mut self, call: &Call, end: CallEnd) {
+    /// Handles the end of a root call at its entry and notifies the caller.
+    pub(crate) fn finish_root(&mut self, call: &Call, end: CallEnd) {
         let answered = end == CallEnd::Answered;
         let refused = matches!(end, CallEnd::Refused(_));
         self.count_end(call.request, end);
@@ -120,7 +121,7 @@
         let name = match end {
             CallEnd::Answered => return,
             CallEnd::Refused(refusal) => <&'static str>::from(refusal.reason),
-            CallEnd::FailedBelow => "failed-below",
+            CallEnd::ChildFailed => "failed-below",
             CallEnd::Crashed => "crashed",
         };
         self.count_failed_send(key, name);
@@ -166,10 +167,10 @@
     }
 
     fn count_answer(&mut self, request: &Request) {
-        let pressed = self.scenario.is_pressed(request.first_sent);
+        let under_pressure = self.scenario.is_under_pressure(request.first_sent);
         let outcome = &mut self.outcomes.kinds[request.kind];
         outcome.answered += 1;
-        outcome.pressed_answered += u64::from(pressed);
+        outcome.answered_under_pressure += u64::from(under_pressure);
         let latency = self.at - request.first_sent;
         self.outcomes
             .latency
@@ -183,11 +184,11 @@
         }
     }
 
-    pub(crate) fn gives_up(&mut self, key: RequestKey, attempt: u32) {
+    pub(crate) fn caller_timed_out(&mut self, key: RequestKey, attempt: u32) {
         let Some(request) = self.arena.requests.get_mut(&key) else {
             return;
         };
-        // A send that has ended already is followed by its own next step.
+        // A send that has already ended is handled by its own event.
         let Some(root_call) = request.root_call else {
             return;
         };
@@ -202,9 +203,9 @@
         self.send_again(key, false);
     }
 
-    /// Callers send again until their sends are used up. Under hemlocktack a
-    /// request that is not idempotent goes again only when it was refused: after
-    /// an unknown outcome its ticket would only be joined to the first send.
+    /// Sends a request again until the caller's sends are used up. Under hemlocktack, a request
+    /// that is not idempotent is sent again only if it was refused: after an unknown outcome,
+    /// its ticket would only join the first send.
     fn send_again(&mut self, key: RequestKey, refused: bool) {
         let Some(request) = self.arena.requests.get(&key) else {
             return;
@@ -222,15 +223,15 @@
         self.schedule(pause, Event::Send(key));
     }
 
-    /// Drops a call and everything below it, wherever it is.
+    /// Cancels a call and its child calls, wherever they are.
     pub(crate) fn cancel(&mut self, key: CallKey) {
         let Some(call) = self.arena.calls.remove(&key) else {
             return;
         };
-        if let Some(deeper) = call.deeper_call {
-            self.cancel(deeper);
+        if let Some(child) = call.child_call {
+            self.cancel(child);
         }
-        self.forget_placement(&call);
+        self.drop_outstanding(&call);
         self.withdraw(key, &call);
     }
 }
--- a/crates/hemlocktack-decide/examples/scenarios/driver/capacity.rs
+++ b/crates/hemlocktack-decide/examples/scenarios/driver/capacity.rs
@@ -1,15 +1,15 @@
-//! What the slots and service times allow, as a yardstick for goodput.
+//! Computes what slots and service times allow, as the reference for goodput.
 
 use super::deployment::Deployment;
 use super::scenario::{LONG_FACTOR, LONG_ONE_IN, Scenario};
 
-/// Requests a second of each kind that capacity allows.
+/// Requests per second of each kind that capacity allows.
 #[derive(Clone, Debug)]
 pub(crate) struct Allowed {
     pub(crate) per_kind: Vec<f64>,
 }
 
-/// Slot seconds that a request of each kind takes in each service.
+/// Returns the slot seconds that a request of each kind takes in each service.
 fn slot_seconds(deployment: &Deployment) -> Vec<Vec<f64>> {
     let per_kind = |kind: &super::deployment::Kind| {
         let mut seconds = vec![0.0; deployment.services.len()];
@@ -23,12 +23,12 @@
     let hold = deployment.hold_time(step).as_secs_f64();
     let step = &deployment.steps[step];
     seconds[step.service] += hold;
-    for deeper in &step.deeper {
-        add_step(deployment, *deeper, seconds);
+    for child_step in &step.child_steps {
+        add_step(deployment, *child_step, seconds);
     }
 }
 
-/// Requests a second of all kinds at which the first service is full.
+/// Returns the requests per second of all kinds at which the first service is full.
 pub(crate) fn saturation_rate(deployment: &Deployment) -> f64 {
     let cost = slot_seconds(deployment);
     let services = deployment.services.iter().enumerate();
@@ -41,9 +41,9 @@
     rates.fold(f64::INFINITY, f64::min)
 }
 
-/// Rates that a perfect scheduler could serve: the classes in their order;
-/// within a class all kinds grow in the same proportion to their demand, and
-/// those that need a service that is full stop there.
+/// Returns the rates that a perfect scheduler could serve: classes in their order; within a
+/// class all kinds grow in proportion to their demand, and those that need a full service stop
+/// there.
 pub(crate) fn allowed(deployment: &Deployment, demand: &[f64], slots: &[f64]) -> Allowed {
     let cost = slot_seconds(deployment);
     let mut free = slots.to_vec();
@@ -74,7 +74,7 @@
     Allowed { per_kind: served }
 }
 
-/// Share of their demand that the open kinds can still grow by.
+/// Returns the share of their demand by which the open kinds can still grow.
 fn growth(open: &[usize], cost: &[Vec<f64>], demand: &[f64], free: &[f64]) -> f64 {
     let shares = free.iter().enumerate().map(|(service, free)| {
         let need: f64 = open
@@ -90,8 +90,8 @@
     shares.fold(f64::INFINITY, f64::min)
 }
 
-/// The deployment with the mean work of the kind that has long calls. The last
-/// kind's chain has one step in each deployment.
+/// Returns the deployment with the mean work of the kind that has long calls. The chain of the
+/// last kind has one step in each deployment.
 pub(crate) fn with_long_calls(deployment: &Deployment, scenario: &Scenario) -> Deployment {
     let mut effective = deployment.clone();
     if !scenario.long_calls {
--- a/crates/hemlocktack-decide/examples/scenarios/driver/deployment.rs
+++ b/crates/hemlocktack-decide/examples/scenarios/driver/deployment.rs
@@ -1,9 +1,9 @@
-//! The two users' deployments: sizes from the brief, chains and times chosen
-//! here.
+//! Example deployments of two users. Their sizes were given by the users; chains and times are
+//! assumptions.
 
 use std::time::Duration;
 
-/// One service: so many upstreams with so many slots each.
+/// One service and the size of its upstreams.
 #[derive(Clone, Debug)]
 pub(crate) struct Service {
     pub(crate) upstreams: usize,
@@ -11,12 +11,12 @@
     pub(crate) connections: u32,
 }
 
-/// One call of a chain: own work in a service, deeper calls in between.
+/// One call of a chain: own work in a service, with child calls in between.
 #[derive(Clone, Debug)]
 pub(crate) struct Step {
     pub(crate) service: usize,
     pub(crate) own_work: Duration,
-    pub(crate) deeper: Vec<usize>,
+    pub(crate) child_steps: Vec<usize>,
 }
 
 /// Requests of one kind.
@@ -25,14 +25,14 @@
     pub(crate) name: &'static str,
     pub(crate) class_rank: u8,
     pub(crate) idempotent: bool,
-    pub(crate) patience: Duration,
+    pub(crate) timeout: Duration,
     /// Share of all requests.
     pub(crate) share: f64,
-    /// Step that the caller calls.
+    /// Step called by the caller.
     pub(crate) root: usize,
 }
 
-/// Services, chains and distances of one user.
+/// Services, chains and network delays of one user.
 #[derive(Clone, Debug)]
 pub(crate) struct Deployment {
     pub(crate) name: &'static str,
@@ -45,22 +45,24 @@
 }
 
 impl Deployment {
-    /// Time that a call of the step holds its slot: own work and deeper calls.
+    /// Returns how long a call of the step holds its slot: own work and child calls.
     pub(crate) fn hold_time(&self, step: usize) -> Duration {
         let step = &self.steps[step];
-        let deeper: Duration = step
-            .deeper
+        let child_time: Duration = step
+            .child_steps
             .iter()
-            .map(|deeper| self.hold_time(*deeper))
+            .map(|child_step| self.hold_time(*child_step))
             .sum();
-        step.own_work + deeper
+        step.own_work + child_time
     }
 
-    /// Slot time that a call of the step takes in all services together.
+    /// Returns the slot time that a call of the step takes in all services together.
     pub(crate) fn slot_time(&self, step: usize) -> Duration {
-        let deeper = self.steps[step].deeper.iter();
-        let deeper: Duration = deeper.map(|deeper| self.slot_time(*deeper)).sum();
-        self.hold_time(step) + deeper
+        let child_steps = self.steps[step].child_steps.iter();
+        let child_time: Duration = child_steps
+            .map(|child_step| self.slot_time(*child_step))
+            .sum();
+        self.hold_time(step) + child_time
     }
 }
 
@@ -72,11 +74,11 @@
     }
 }
 
-fn step(service: usize, own_ms: u64, deeper: &[usize]) -> Step {
+fn step(service: usize, own_ms: u64, child_steps: &[usize]) -> Step {
     Step {
         service,
         own_work: Duration::from_millis(own_ms),
-        deeper: deeper.to_vec(),
+        child_steps: child_steps.to_vec(),
     }
 }
 
@@ -85,7 +87,7 @@
         name,
         class_rank,
         idempotent: class_rank > 0,
-        patience: Duration::from_millis(patience_ms),
+        timeout: Duration::from_millis(patience_ms),
         share,
         root,
     }
@@ -153,7 +155,7 @@
     }
 }
 
-/// Two services with few slots, where chance makes short queues at half load.
+/// Two services with few slots, where random variation causes short queues at half load.
 pub(crate) fn quickstart() -> Deployment {
     let (listings, diaries) = (0, 1);
     Deployment {
--- a/crates/hemlocktack-decide/examples/scenarios/driver/entry_side.rs
+++ b/crates/hemlocktack-decide/examples/scenarios/driver/entry_side.rs
@@ -1,4 +1,4 @@
-//! The side of a node that makes calls: shedder, placement, retries.
+//! The calling side of a node: shedder, placement, retries.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,12 +9,12 @@
 use hemlocktack_protocol::{CallFailure, LoadHint, Reason, Refusal};
 use rand::RngExt;
 
-use super::arena::{Call, CallEnd, CallKey, Place};
+use super::arena::{Call, CallEnd, CallKey, CallLocation};
 use super::scenario::Policy;
-use super::world::{Event, Reply, World};
+use super::world::{Event, Reply, Simulation};
 
-impl World<'_> {
-    /// A call is made at its node: first try.
+impl Simulation<'_> {
+    /// Makes a call at its node: the first attempt.
     pub(crate) fn make_call(&mut self, key: CallKey) {
         let now = self.now();
         let Some(call) = self.arena.calls.get(&key) else {
@@ -34,16 +34,16 @@
                 has_prior_work,
                 now,
             ) {
-                self.end_call(key, CallEnd::Refused(refusal(Reason::Shed)));
+                self.finish_call(key, CallEnd::Refused(refusal(Reason::Shed)));
                 return;
             }
             node.budgets[service].record_first_attempt(now);
         }
-        self.put(key, None);
+        self.send_to_upstream(key, None);
     }
 
-    /// Puts a call on an upstream and sends it there.
-    fn put(&mut self, key: CallKey, excluded: Option<usize>) {
+    /// Places a call on an upstream and sends it there.
+    fn send_to_upstream(&mut self, key: CallKey, excluded: Option<usize>) {
         let Some(call) = self.arena.calls.get(&key) else {
             return;
         };
@@ -64,7 +64,7 @@
             Some(self.rng.random_range(0..self.services[service].len()))
         };
         let Some(index) = chosen else {
-            self.end_call(key, CallEnd::Refused(refusal(Reason::NoUpstream)));
+            self.finish_call(key, CallEnd::Refused(refusal(Reason::NoUpstream)));
             return;
         };
         self.nodes[from].peers[service][index].sent(now);
@@ -74,20 +74,20 @@
             return;
         };
         call.upstream = upstream;
-        call.place = Place::Travelling;
-        call.given = call.allowance.grant_to_child();
+        call.location = CallLocation::InTransit;
+        call.granted = call.allowance.grant_to_child();
         call.send += 1;
         let send = call.send;
         self.outcomes.calls += 1;
         let delay = self.delay(from, upstream);
         self.schedule(delay, Event::AtUpstream(key, send));
         if self.policy == Policy::Hemlocktack {
-            self.schedule(silence_timeout, Event::LookForSilence(key, send));
+            self.schedule(silence_timeout, Event::CheckSilence(key, send));
         }
     }
 
-    /// An idempotent call whose peer has gone silent is sent elsewhere.
-    pub(crate) fn look_for_silence(&mut self, key: CallKey, send: u32) {
+    /// Sends an idempotent call elsewhere if its peer has gone silent.
+    pub(crate) fn check_silence(&mut self, key: CallKey, send: u32) {
         let now = self.now();
         let Some(call) = self.arena.calls.get_mut(&key) else {
             return;
@@ -102,39 +102,39 @@
         let index = index_in(&self.services[service], call.upstream);
         let peer = Arc::clone(&self.nodes[call.from].peers[service][index]);
         if !peer.is_lost(now) {
-            self.schedule(peer.silence_timeout(), Event::LookForSilence(key, send));
+            self.schedule(peer.silence_timeout(), Event::CheckSilence(key, send));
             return;
         }
         peer.failed(now);
-        let deeper = call.deeper_call.take();
-        if let Some(deeper) = deeper {
-            self.cancel(deeper);
+        let child = call.child_call.take();
+        if let Some(child) = child {
+            self.cancel(child);
         }
-        self.give_up_send(key);
+        self.withdraw_send(key);
         self.after_reply(key, CallEnd::Crashed, index);
     }
 
-    /// Takes a send back from where it is; the call itself goes on.
-    fn give_up_send(&mut self, key: CallKey) {
+    /// Withdraws a send from wherever it is; the call itself continues.
+    fn withdraw_send(&mut self, key: CallKey) {
         let Some(mut call) = self.arena.calls.remove(&key) else {
             return;
         };
         self.withdraw(key, &call);
         call.send += 1;
         call.phase += 1;
-        call.place = Place::Travelling;
-        call.deeper_done = 0;
+        call.location = CallLocation::InTransit;
+        call.children_done = 0;
         call.own_done = Duration::ZERO;
-        call.time_below = Duration::ZERO;
+        call.child_wait = Duration::ZERO;
         self.arena.calls.insert(key, call);
     }
 
-    /// The upstream's node sends a call's end back.
+    /// Sends the outcome of a call back from the upstream's node.
     pub(crate) fn send_reply(&mut self, key: CallKey, end: CallEnd, hint: LoadHint, unspent: u32) {
         let Some(call) = self.arena.calls.get_mut(&key) else {
             return;
         };
-        call.place = Place::Travelling;
+        call.location = CallLocation::InTransit;
         let (from, upstream) = (call.from, call.upstream);
         let reply = Some(Reply { end, hint, unspent });
         let slot = match self.free_replies.pop() {
@@ -160,8 +160,8 @@
         let Some(call) = self.arena.calls.get_mut(&key) else {
             return;
         };
-        call.allowance.return_unspent(reply.unspent, call.given);
-        call.given = 0;
+        call.allowance.return_unspent(reply.unspent, call.granted);
+        call.granted = 0;
         let service = self.deployment.steps[call.step].service;
         let node = &mut self.nodes[call.from];
         let index = index_in(&self.services[service], call.upstream);
@@ -169,7 +169,7 @@
         match reply.end {
             CallEnd::Answered => peer.answered(&reply.hint, now),
             CallEnd::Refused(refusal) => peer.refused(refusal.reason, Some(&reply.hint), now),
-            CallEnd::FailedBelow => peer.refused(Reason::Unspecified, Some(&reply.hint), now),
+            CallEnd::ChildFailed => peer.refused(Reason::Unspecified, Some(&reply.hint), now),
             CallEnd::Crashed => peer.failed(now),
         }
         if reply.end != CallEnd::Crashed {
@@ -181,15 +181,15 @@
     fn after_reply(&mut self, key: CallKey, end: CallEnd, index: usize) {
         let now = self.now();
         if self.policy != Policy::Hemlocktack {
-            self.end_call(key, end);
+            self.finish_call(key, end);
             return;
         }
         let Some(call) = self.arena.calls.get_mut(&key) else {
             return;
         };
         let last = match end {
-            CallEnd::Answered | CallEnd::FailedBelow => {
-                self.end_call(key, end);
+            CallEnd::Answered | CallEnd::ChildFailed => {
+                self.finish_call(key, end);
                 return;
             }
             CallEnd::Refused(refusal) => CallFailure::NotRun(refusal),
@@ -200,7 +200,7 @@
             && !call.moved
         {
             call.moved = true;
-            self.put(key, Some(index));
+            self.send_to_upstream(key, Some(index));
             return;
         }
         let unknown = CallFailure::Unknown(Reason::UpstreamFailed);
@@ -212,7 +212,7 @@
         };
         let service = self.deployment.steps[call.step].service;
         let request = &self.arena.requests[&call.request];
-        let verdict = decide_retry(
+        let decision = decide_retry(
             &last,
             self.deployment.kinds[request.kind].idempotent,
             call.deadline.saturating_sub(self.at),
@@ -224,13 +224,13 @@
             },
             now,
         );
-        if verdict != RetryDecision::Retry {
-            self.end_call(key, end);
+        if decision != RetryDecision::Retry {
+            self.finish_call(key, end);
             return;
         }
         let request_key = call.request;
         self.count_retry(request_key);
-        self.put(key, Some(index));
+        self.send_to_upstream(key, Some(index));
     }
 
     fn count_retry(&mut self, request: u64) {
@@ -241,19 +241,19 @@
         }
     }
 
-    /// A call has come to its end at the node that made it.
-    fn end_call(&mut self, key: CallKey, end: CallEnd) {
+    /// Handles the end of a call at the node that made it.
+    fn finish_call(&mut self, key: CallKey, end: CallEnd) {
         let Some(call) = self.arena.calls.remove(&key) else {
             return;
         };
         match call.parent {
-            None => self.end_root(&call, end),
+            None => self.finish_root(&call, end),
             Some(parent) => self.resume(parent, end),
         }
     }
 
-    /// Book-keeping for a call that is dropped while it is out.
-    pub(crate) fn forget_placement(&mut self, call: &Call) {
+    /// Updates the peer's counters for a call that is dropped while it is outstanding.
+    pub(crate) fn drop_outstanding(&mut self, call: &Call) {
         let service = self.deployment.steps[call.step].service;
         if self.services[service].contains(&call.upstream) {
             let index = index_in(&self.services[service], call.upstream);
--- a/crates/hemlocktack-decide/examples/scenarios/driver/faults.rs
+++ b/crates/hemlocktack-decide/examples/scenarios/driver/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of a scenario, as they begin and end.
+//! Starts and ends the fault of a scenario.
 
 use std::time::Duration;
 
@@ -6,74 +6,74 @@
 use rand::RngExt;
 
 use super::scenario::Fault;
-use super::world::{Event, World};
+use super::world::{Event, Simulation};
 
 const REPORTS_EVERY: Duration = Duration::from_millis(500);
 const CRASHING_EVERY: Duration = Duration::from_millis(500);
-/// Time until probes that go unanswered reach every node as a suspicion.
+/// Time until every node suspects a node whose probes go unanswered.
 const SUSPECTED_AFTER: Duration = Duration::from_secs(2);
 const RESTART: Duration = Duration::from_secs(1);
 
-/// Faults that are there from the start.
-pub(crate) fn prepare(world: &mut World<'_>) {
-    if world.scenario.fault != Fault::OverstatedSlots {
+/// Applies faults that exist from the start.
+pub(crate) fn prepare(simulation: &mut Simulation<'_>) {
+    if simulation.scenario.fault != Fault::OverstatedSlots {
         return;
     }
-    for service in 0..world.services.len() {
-        let node = world.services[service][0];
-        world.nodes[node].upstream.slots /= 2;
+    for service in 0..simulation.services.len() {
+        let node = simulation.services[service][0];
+        simulation.nodes[node].upstream.slots /= 2;
     }
 }
 
-pub(crate) fn begin(world: &mut World<'_>) {
-    match world.scenario.fault {
-        // Overstated slots are there from the start.
+pub(crate) fn begin(simulation: &mut Simulation<'_>) {
+    match simulation.scenario.fault {
+        // Overstated slots are applied by `prepare`.
         Fault::Nothing | Fault::OverstatedSlots => {}
         Fault::SlowUpstream { service, factor } => {
-            let node = world.services[service][0];
-            world.nodes[node].upstream.slowness = factor;
+            let node = simulation.services[service][0];
+            simulation.nodes[node].upstream.slowness = factor;
         }
-        Fault::SlowService { service, factor } => set_service(world, service, factor),
+        Fault::SlowService { service, factor } => set_service(simulation, service, factor),
         Fault::ColdStart => {
-            for service in 0..world.services.len() {
-                let node = world.services[service][0];
-                world.stop(node, RESTART);
+            for service in 0..simulation.services.len() {
+                let node = simulation.services[service][0];
+                simulation.stop(node, RESTART);
             }
         }
         Fault::Frozen => {
             for service in [0, 2] {
-                let node = world.services[service][0];
-                world.frozen.push(node);
+                let node = simulation.services[service][0];
+                simulation.frozen.push(node);
             }
-            world.schedule(SUSPECTED_AFTER, Event::Suspicion(true));
+            simulation.schedule(SUSPECTED_AFTER, Event::Suspicion(true));
         }
-        Fault::LyingReports { .. } => world.schedule(Duration::ZERO, Event::Reports),
-        Fault::CrashingRequest => world.schedule(Duration::ZERO, Event::CrashingSend),
+        Fault::WrongReports { .. } => simulation.schedule(Duration::ZERO, Event::Reports),
+        Fault::CrashingRequest => simulation.schedule(Duration::ZERO, Event::CrashingSend),
     }
 }
 
-pub(crate) fn end(world: &mut World<'_>) {
-    match world.scenario.fault {
+pub(crate) fn end(simulation: &mut Simulation<'_>) {
+    match simulation.scenario.fault {
         Fault::Frozen => {
-            suspect(world, false);
-            world.frozen.clear();
+            suspect(simulation, false);
+            simulation.frozen.clear();
         }
         Fault::SlowUpstream { service, .. } | Fault::SlowService { service, .. } => {
-            set_service(world, service, 1.0);
+            set_service(simulation, service, 1.0);
         }
         _ => {}
     }
 }
 
-/// What membership tells every node of those that stand still.
-pub(crate) fn suspect(world: &mut World<'_>, is_suspected: bool) {
+/// Applies what membership reports to every node about the frozen nodes.
+pub(crate) fn suspect(simulation: &mut Simulation<'_>, is_suspected: bool) {
     let state = if is_suspected {
         UpstreamState::Absent
     } else {
         UpstreamState::Ready
     };
     for service in [0, 2] {
-        for node in &world.nodes {
+        for node in &simulation.nodes {
             let peer = &node.peers[service][0];
             peer.set_suspected(is_suspected);
             peer.set_state(state);
@@ -81,16 +81,16 @@
     }
 }
 
-fn set_service(world: &mut World<'_>, service: usize, slowness: f64) {
-    for &node in &world.services[service] {
-        world.nodes[node].upstream.slowness = slowness;
+fn set_service(simulation: &mut Simulation<'_>, service: usize, slowness: f64) {
+    for &node in &simulation.services[service] {
+        simulation.nodes[node].upstream.slowness = slowness;
     }
 }
 
-/// A restarted upstream announces itself, cold.
-pub(crate) fn back(world: &mut World<'_>, node: usize) {
-    let (at, now) = (world.at, world.now());
-    let node = &mut world.nodes[node];
+/// Announces a restarted upstream as cold.
+pub(crate) fn back(simulation: &mut Simulation<'_>, node: usize) {
+    let (at, now) = (simulation.at, simulation.now());
+    let node = &mut simulation.nodes[node];
     node.upstream.is_down = false;
     node.upstream.cold_since = Some(at);
     let slots = node.upstream.announced_slots;
@@ -98,33 +98,33 @@
         .announced(slots, node.upstream.connections, true, now);
 }
 
-/// Reads the load endpoints, which lie.
-pub(crate) fn report(world: &mut World<'_>) {
-    let Fault::LyingReports { full } = world.scenario.fault else {
+/// Reads the load endpoints, which report wrong values.
+pub(crate) fn report(simulation: &mut Simulation<'_>) {
+    let Fault::WrongReports { full } = simulation.scenario.fault else {
         return;
     };
-    if !world.scenario.is_pressed(world.at) {
+    if !simulation.scenario.is_under_pressure(simulation.at) {
         return;
     }
-    for node in &mut world.nodes {
+    for node in &mut simulation.nodes {
         let slots = node.upstream.slots as u32;
         node.admission
             .report_load(if full { slots } else { 0 }, slots);
     }
-    world.schedule(REPORTS_EVERY, Event::Reports);
+    simulation.schedule(REPORTS_EVERY, Event::Reports);
 }
 
-/// The caller of the crashing request sends it again.
-pub(crate) fn send_crashing(world: &mut World<'_>) {
-    if !world.scenario.is_pressed(world.at) {
+/// Sends the crashing request again.
+pub(crate) fn send_crashing(simulation: &mut Simulation<'_>) {
+    if !simulation.scenario.is_under_pressure(simulation.at) {
         return;
     }
-    // The kind of the most requests, which any entry takes.
-    let kind = if world.demand_rng.random_bool(0.5) {
+    // The kinds with the most requests, which any entry accepts.
+    let kind = if simulation.demand_rng.random_bool(0.5) {
         2
     } else {
         3
     };
-    world.new_request(kind, true);
-    world.schedule(CRASHING_EVERY, Event::CrashingSend);
+    simulation.new_request(kind, true);
+    simulation.schedule(CRASHING_EVERY, Event::CrashingSend);
 }
--- a/crates/hemlocktack-decide/examples/scenarios/driver/mod.rs
+++ b/crates/hemlocktack-decide/examples/scenarios/driver/mod.rs
@@ -1,5 +1,5 @@
-//! Driver in virtual time: a few upstreams' queues, the callers' side and the
-//! decisions between them. No network and no cluster: messages only take time.
+//! Simulation in virtual time of upstream queues, callers and the decisions between them. There
+//! is no network and no cluster: messages only take time.
 
 mod arena;
 mod callers;
--- a/crates/hemlocktack-decide/examples/scenarios/driver/outcome.rs
+++ b/crates/hemlocktack-decide/examples/scenarios/driver/outcome.rs
@@ -1,43 +1,43 @@
-//! What callers saw, and what it cost.
+//! Results of a run as callers see them, and its cost.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 
-/// Width of one bin of the series over time.
+/// Width of one bin of the time series.
 pub(crate) const BIN: Duration = Duration::from_millis(250);
 
-/// Outcomes of the requests of one kind.
+/// Results of the requests of one kind.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct KindOutcome {
-    /// Requests that arrived while the pressure was on.
-    pub(crate) pressed: u64,
+    /// Requests that arrived under pressure.
+    pub(crate) under_pressure: u64,
     /// Of these, answered in time.
-    pub(crate) pressed_answered: u64,
+    pub(crate) answered_under_pressure: u64,
     /// Requests of the whole run.
     pub(crate) arrived: u64,
     pub(crate) answered: u64,
     /// Refusals that reached a caller.
     pub(crate) refused: u64,
-    /// Why sends came to nothing, as the caller sees it.
+    /// Failed sends by reason, as the caller sees them.
     pub(crate) ends: BTreeMap<String, u64>,
 }
 
-/// One bin over time.
+/// One bin of the time series.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Bin {
-    /// Requests that arrived in it.
+    /// Requests that arrived in the bin.
     pub(crate) arrived: u32,
-    /// Of these, answered in time at last.
+    /// Of these, answered in time eventually.
     pub(crate) answered: u32,
-    /// Answers that came in it.
+    /// Answers that arrived in the bin.
     pub(crate) goodput: u32,
-    /// Calls waiting at its end, inside upstreams and before them.
+    /// Calls waiting at its end, inside and in front of upstreams.
     pub(crate) waiting: u32,
 }
 
-/// Everything one run shows.
+/// All results of one run.
 #[derive(Debug)]
 pub(crate) struct Outcomes {
     pub(crate) kinds: Vec<KindOutcome>,
@@ -48,7 +48,7 @@
     pub(crate) calls: u64,
     pub(crate) caller_resends: u64,
     pub(crate) retries: u64,
-    /// Most retries that one send of one request used in its chain.
+    /// Maximum number of retries that one send of one request used in its chain.
     pub(crate) most_retries: u32,
     pub(crate) ran_twice: u64,
     pub(crate) crashes: u32,
@@ -80,7 +80,7 @@
         self.bins.get_mut(index as usize)
     }
 
-    /// Share of all work whose request was not answered in time.
+    /// Returns the share of all work done for requests that were not answered in time.
     pub(crate) fn wasted_share(&self) -> f64 {
         if self.work.is_zero() {
             return 0.0;
@@ -88,14 +88,14 @@
         1.0 - self.useful_work.as_secs_f64() / self.work.as_secs_f64()
     }
 
-    /// Time after `ends` from which on every bin's requests are answered to 95%
-    /// of the share before `begins`; `None` if that is not reached. The last
-    /// bins are left out, as their requests may still be under way.
+    /// Returns the time after `ends` from which every bin's requests are answered to 95% of the
+    /// share before `begins`; `None` if that is not reached. The last bins are excluded, as
+    /// their requests may still be in progress.
     pub(crate) fn recovery(
         &self,
         begins: Duration,
         ends: Duration,
-        patience: Duration,
+        timeout: Duration,
     ) -> Option<Duration> {
         let index = |at: Duration| (at.as_millis() / BIN.as_millis()) as usize;
         let share = |bins: &[Bin]| {
@@ -104,7 +104,7 @@
             f64::from(answered) / f64::from(arrived.max(1))
         };
         let before = share(&self.bins[index(begins) / 3..index(begins)]);
-        let end = self.bins.len().saturating_sub(index(patience) + 2);
+        let end = self.bins.len().saturating_sub(index(timeout) + 2);
         let after = &self.bins[index(ends)..end];
         let last_bad = after
             .iter()
--- a/crates/hemlocktack-decide/examples/scenarios/driver/scenario.rs
+++ b/crates/hemlocktack-decide/examples/scenarios/driver/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenarios: demand over time, faults and callers' habits.
+//! Scenarios: demand over time, faults and the behaviour of callers.
 
 use std::time::Duration;
 
@@ -16,32 +16,32 @@
     Hemlocktack,
 }
 
-/// How much longer a long call takes. Nothing in the request tells.
+/// Duration of a long call relative to a normal one. Nothing in the request shows which it is.
 pub(crate) const LONG_FACTOR: f64 = 10.0;
-/// One request of so many is long.
+/// One request in this many is long.
 pub(crate) const LONG_ONE_IN: u64 = 10;
 
-/// What goes wrong while the pressure is on.
+/// The fault while the pressure is on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Fault {
-    /// Nothing.
+    /// No fault.
     Nothing,
-    /// The first upstream of a service works this much slower.
+    /// The first upstream of a service is slower by this factor.
     SlowUpstream { service: usize, factor: f64 },
-    /// All upstreams of a service work this much slower.
+    /// All upstreams of a service are slower by this factor.
     SlowService { service: usize, factor: f64 },
-    /// The first upstream of each service restarts cold: down for a second,
-    /// then five times slower, warming up over three seconds.
+    /// The first upstream of each service restarts cold: down for a second, then five times
+    /// slower, warming up over three seconds.
     ColdStart,
-    /// The first upstream of each service announces twice the slots it has.
+    /// The first upstream of each service announces twice its slots.
     OverstatedSlots,
-    /// The first node of the first and of the third service stands still: it
-    /// takes calls and sends nothing, until the pressure ends.
+    /// The first node of the first and of the third service hangs until the pressure ends: it
+    /// accepts calls and sends nothing.
     Frozen,
-    /// The load endpoints claim that all slots are taken, or none.
-    LyingReports { full: bool },
-    /// A request that crashes the upstream that runs it, sent again by its
-    /// caller every half second; crashed upstreams are back after two seconds.
+    /// The load endpoints report that all slots are taken, or none.
+    WrongReports { full: bool },
+    /// A request crashes the upstream that runs it and is sent every half second by its caller;
+    /// crashed upstreams are back after two seconds.
     CrashingRequest,
 }
 
@@ -49,32 +49,32 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Scenario {
     pub(crate) name: &'static str,
-    /// Demand before and after, as a multiple of what saturates.
+    /// Demand before and after the pressure, as a multiple of the saturation rate.
     pub(crate) calm: f64,
     /// Demand under pressure.
     pub(crate) pressure: f64,
-    /// Shares of the kinds under pressure, where they differ from the calm.
+    /// Shares of the kinds under pressure, if they differ from the normal ones.
     pub(crate) shares: Option<[f64; 4]>,
     /// All requests enter in the first data centre.
     pub(crate) skewed_entry: bool,
-    /// Pressure comes in bursts this long, once a second.
+    /// Pressure comes in bursts of this length, once per second.
     pub(crate) burst: Option<Duration>,
-    /// One request of ten of the last kind takes [`LONG_FACTOR`] times as long.
+    /// One request in ten of the last kind takes [`LONG_FACTOR`] times as long.
     pub(crate) long_calls: bool,
     pub(crate) fault: Fault,
     pub(crate) begins: Duration,
     pub(crate) ends: Duration,
     pub(crate) lasts: Duration,
-    /// Sends that a caller makes for one request at most.
+    /// Maximum number of sends of one request by its caller.
     pub(crate) caller_sends: u32,
-    /// Mean pause of a caller before it sends again; no caller heeds Retry-After.
+    /// Mean delay of a caller before it sends again; callers ignore Retry-After.
     pub(crate) caller_pause: Duration,
 }
 
 impl Scenario {
-    /// Demand as a multiple of what saturates.
+    /// Returns the demand as a multiple of the saturation rate.
     pub(crate) fn demand_at(&self, at: Duration) -> f64 {
-        if !self.is_pressed(at) {
+        if !self.is_under_pressure(at) {
             return self.calm;
         }
         let Some(burst) = self.burst else {
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Whether the pressure is on.
-    pub(crate) fn is_pressed(&self, at: Duration) -> bool {
+    /// Returns whether the pressure is on.
+    pub(crate) fn is_under_pressure(&self, at: Duration) -> bool {
         (self.begins..self.ends).contains(&at)
     }
 }
@@ -112,7 +112,7 @@
     }
 }
 
-/// Every scenario, in the order of the table.
+/// Returns every scenario, in the order of the table.
 pub(crate) fn all_scenarios() -> Vec<Scenario> {
     let base = scenario;
     vec![
@@ -168,11 +168,11 @@
             ..base("cold-start", 0.7)
         },
         Scenario {
-            fault: Fault::LyingReports { full: true },
+            fault: Fault::WrongReports { full: true },
             ..base("reports-full-2x", 2.0)
         },
         Scenario {
-            fault: Fault::LyingReports { full: false },
+            fault: Fault::WrongReports { full: false },
             ..base("reports-idle-2x", 2.0)
         },
         Scenario {
--- a/crates/hemlocktack-decide/examples/scenarios/driver/upstream.rs
+++ b/crates/hemlocktack-decide/examples/scenarios/driver/upstream.rs
@@ -1,5 +1,5 @@
-//! One upstream: so many calls at a time, the others wait inside, first come
-//! first served.
+//! One upstream: it runs a limited number of calls at a time; the others wait inside, first
+//! come, first served.
 
 use std::collections::{HashSet, VecDeque};
 use std::time::Duration;
@@ -9,19 +9,19 @@
 #[derive(Debug, Default)]
 pub(crate) struct Upstream {
     pub(crate) data_centre: usize,
-    /// Slots that it has.
+    /// Slots that it actually has.
     pub(crate) slots: usize,
     pub(crate) announced_slots: u32,
     pub(crate) connections: u32,
     pub(crate) slowness: f64,
-    /// Restarted cold at this time.
+    /// Time at which it restarted cold.
     pub(crate) cold_since: Option<Duration>,
     pub(crate) is_down: bool,
     running: HashSet<CallKey>,
     inside: VecDeque<CallKey>,
 }
 
-/// Time in which a cold upstream warms up, and how slow it begins.
+/// Time in which a cold upstream warms up, and its initial slowness.
 const WARM_UP: Duration = Duration::from_secs(3);
 const COLD_SLOWNESS: f64 = 5.0;
 
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Takes a call; true if it starts now.
+    /// Accepts a call; returns true if it starts now.
     pub(crate) fn take(&mut self, call: CallKey) -> bool {
         if self.running.len() < self.slots {
             self.running.insert(call);
@@ -48,8 +48,8 @@
         }
     }
 
-    /// A call leaves; the next one that starts, if one waits inside.
-    pub(crate) fn leave(&mut self, call: CallKey) -> Option<CallKey> {
+    /// Removes a call; returns the next one to start, if one waits inside.
+    pub(crate) fn remove(&mut self, call: CallKey) -> Option<CallKey> {
         if !self.running.remove(&call) {
             self.inside.retain(|other| *other != call);
             return None;
@@ -59,7 +59,7 @@
         Some(next)
     }
 
-    /// It dies with all that it holds.
+    /// Crashes; returns all calls that were inside.
     pub(crate) fn crash(&mut self) -> Vec<CallKey> {
         self.is_down = true;
         let mut calls: Vec<_> = self.running.drain().collect();
@@ -68,12 +68,12 @@
         calls
     }
 
-    /// Calls inside, running or waiting.
+    /// Returns the number of calls inside, running or waiting.
     pub(crate) fn len(&self) -> usize {
         self.running.len() + self.inside.len()
     }
 
-    /// How much longer work takes now.
+    /// Returns the factor by which work takes longer at this time.
     pub(crate) fn slowness_at(&self, at: Duration) -> f64 {
         let Some(since) = self.cold_since else {
             return self.slowness;
--- a/crates/hemlocktack-decide/examples/scenarios/driver/upstream_crash.rs
+++ b/crates/hemlocktack-decide/examples/scenarios/driver/upstream_crash.rs
@@ -1,4 +1,4 @@
-//! Upstreams that stop with all that they hold.
+//! Crashes and restarts of upstreams.
 
 use std::time::Duration;
 
@@ -6,16 +6,16 @@
 
 use super::arena::{CallEnd, CallKey};
 use super::scenario::Policy;
-use super::world::{Event, World};
+use super::world::{Event, Simulation};
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(super) fn crash(&mut self, node: usize) {
         const DOWN_FOR: Duration = Duration::from_secs(2);
         self.outcomes.crashes += 1;
         self.stop(node, DOWN_FOR);
     }
 
-    /// The upstream stops with all that it holds; it is back, cold, later.
+    /// Stops the upstream, losing its calls; it returns cold later.
     pub(crate) fn stop(&mut self, node: usize, down_for: Duration) {
         let now = self.now();
         let mut calls = self.nodes[node].upstream.crash();
@@ -24,7 +24,7 @@
             self.nodes[node].admission.crashed(&mut calls, now);
             calls.sort_unstable();
             self.nodes[node].admission.lost(now);
-            self.spread_suspects(node);
+            self.share_quarantine_updates(node);
         }
         calls.extend(std::mem::take(&mut self.nodes[node].fifo));
         for key in calls {
@@ -39,15 +39,15 @@
             return;
         };
         call.phase += 1;
-        if let Some(deeper) = call.deeper_call.take() {
-            self.cancel(deeper);
+        if let Some(child) = call.child_call.take() {
+            self.cancel(child);
         }
         self.send_reply(key, CallEnd::Crashed, LoadHint::default(), 0);
     }
 
-    /// What one node found out reaches the others; here at once, by gossip in
-    /// the node.
-    fn spread_suspects(&mut self, from: usize) {
+    /// Sends one node's quarantine updates to the others; here at once, in a real node by
+    /// gossip.
+    fn share_quarantine_updates(&mut self, from: usize) {
         let now = self.now();
         let news = self.nodes[from].admission.quarantine().take_updates();
         for (index, node) in self.nodes.iter_mut().enumerate() {
--- a/crates/hemlocktack-decide/examples/scenarios/driver/upstream_side.rs
+++ b/crates/hemlocktack-decide/examples/scenarios/driver/upstream_side.rs
@@ -5,16 +5,16 @@
 use hemlocktack_decide::{AdmissionDecision, OfferedCall, QueueDecision};
 use hemlocktack_protocol::{LoadHint, Reason};
 
-use super::arena::{Call, CallEnd, CallKey, Place};
+use super::arena::{Call, CallEnd, CallKey, CallLocation};
 use super::entry_side::refusal;
 use super::scenario::Policy;
-use super::world::{Event, World};
+use super::world::{Event, Simulation};
 
-/// Calls that the static policy lets wait for each slot.
+/// Queued calls per slot under the static policy.
 const STATIC_QUEUE_PER_SLOT: usize = 4;
-/// Fingerprint of the crashing request; others have their request's number.
+/// Fingerprint of the crashing request; other fingerprints derive from the request number.
 const CRASHING_FINGERPRINT: u64 = u64::MAX;
-impl World<'_> {
+impl Simulation<'_> {
     pub(crate) fn reach_upstream(&mut self, key: CallKey, send: u32) {
         let Some(call) = self.arena.calls.get(&key) else {
             return;
@@ -46,7 +46,7 @@
             self.hand_over(key);
         } else if target.fifo.len() < slots * STATIC_QUEUE_PER_SLOT {
             target.fifo.push_back(key);
-            self.set_position(key, Place::Queued);
+            self.set_location(key, CallLocation::Queued);
         } else {
             self.send_reply(
                 key,
@@ -74,14 +74,14 @@
         let now = self.now();
         match self.nodes[node].admission.offer(&offer, now) {
             AdmissionDecision::Run => self.hand_over(key),
-            AdmissionDecision::Queued => self.set_position(key, Place::Queued),
+            AdmissionDecision::Queued => self.set_location(key, CallLocation::Queued),
             AdmissionDecision::Refused(refusal) => self.refuse(key, refusal),
         }
         self.schedule_wake(node);
     }
 
-    /// Differs by request and by step: a deeper call is another request to
-    /// another service.
+    /// Returns a fingerprint that differs by request and by step: a child call is another
+    /// request to another service.
     fn fingerprint(&self, call: &Call) -> u64 {
         if self.arena.requests[&call.request].crashes_upstreams {
             CRASHING_FINGERPRINT
@@ -92,7 +92,7 @@
 
     fn refuse(&mut self, key: CallKey, refusal: hemlocktack_protocol::Refusal) {
         let call = &self.arena.calls[&key];
-        let (unspent, node, step) = (call.given, call.upstream, call.step);
+        let (unspent, node, step) = (call.granted, call.upstream, call.step);
         let hint = self.hint(node, step);
         self.send_reply(key, CallEnd::Refused(refusal), hint, unspent);
     }
@@ -103,9 +103,9 @@
         }
         let now = self.now();
         let node = &self.nodes[node];
-        let level = node.edges.level(step as u64, |deeper| {
-            let service = self.deployment.steps[deeper as usize].service;
-            node.shedders[service].level(deeper, now)
+        let level = node.edges.level(step as u64, |child_kind| {
+            let service = self.deployment.steps[child_kind as usize].service;
+            node.shedders[service].level(child_kind, now)
         });
         node.admission.hint(level)
     }
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Starts or refuses waiting calls.
+    /// Starts or refuses queued calls.
     pub(crate) fn take_decisions(&mut self, node: usize) {
         match self.policy {
             Policy::None => {}
@@ -164,9 +164,9 @@
         }
     }
 
-    fn set_position(&mut self, key: CallKey, place: Place) {
+    fn set_location(&mut self, key: CallKey, location: CallLocation) {
         if let Some(call) = self.arena.calls.get_mut(&key) {
-            call.place = place;
+            call.location = location;
         }
     }
 }
--- a/crates/hemlocktack-decide/examples/scenarios/driver/world.rs
+++ b/crates/hemlocktack-decide/examples/scenarios/driver/world.rs
@@ -1,4 +1,4 @@
-//! The world of one run: its state, its events and their loop.
+//! The simulation of one run: its state, its events and the event loop.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -25,38 +25,38 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Event {
-    /// The next request of the Poisson stream.
+    /// The next request of the Poisson process arrives.
     Arrival,
-    /// A caller sends a request (again).
+    /// A caller sends a request, possibly again.
     Send(RequestKey),
     /// A root call reaches its entry node.
     AtEntry(CallKey),
     /// A send of a call reaches the node beside its upstream.
     AtUpstream(CallKey, u32),
-    /// A phase of work in the upstream is done.
+    /// A phase of work in the upstream ends.
     WorkDone(CallKey, u32),
-    /// A call's end reaches the node that made it; index into `replies`.
+    /// The outcome of a call reaches the node that made it; index into `replies`.
     Reply(CallKey, usize),
-    /// The node that made a call looks whether its peer has gone silent.
-    LookForSilence(CallKey, u32),
-    /// A caller's patience with one send is over.
-    GivesUp(RequestKey, u32),
-    /// An answer, good or not, reaches the caller.
+    /// The node that made a call checks whether its peer has gone silent.
+    CheckSilence(CallKey, u32),
+    /// A caller's timeout for one send expires.
+    CallerTimeout(RequestKey, u32),
+    /// An answer or a failure reaches the caller.
     AtCaller(RequestKey, u32, bool, bool),
     /// `take_decisions` is due at a node.
     Wake(usize),
-    /// Begin and end of the fault.
+    /// Start and end of the fault.
     FaultBegins,
     FaultEnds,
-    /// A crashed or stopped upstream is back, cold.
+    /// A crashed or stopped upstream returns, cold.
     Back(usize),
-    /// Load endpoints are read.
+    /// The load endpoints are read.
     Reports,
     /// The crashing request is sent again.
     CrashingSend,
-    /// Membership suspects the nodes that stand still, or no longer does.
+    /// Membership starts or stops suspecting the frozen nodes.
     Suspicion(bool),
-    /// Sample of the queues.
+    /// The queues are sampled.
     Sample,
 }
 
@@ -64,10 +64,10 @@
 pub(crate) struct Node {
     pub(crate) upstream: Upstream,
     pub(crate) admission: Admission,
-    /// Waiting calls of the static policy.
+    /// Queued calls under the static policy.
     pub(crate) fifo: std::collections::VecDeque<CallKey>,
     pub(crate) shedders: Vec<EntryShedder>,
-    /// Peers of each service, seen from here.
+    /// Peers of each service, as seen from this node.
     pub(crate) peers: Vec<Vec<Arc<PeerLoad>>>,
     pub(crate) edges: ChainEdges,
     pub(crate) budgets: Vec<EdgeRetryBudget>,
@@ -80,14 +80,14 @@
     pub(crate) unspent: u32,
 }
 
-pub(crate) struct World<'a> {
+pub(crate) struct Simulation<'a> {
     pub(crate) deployment: &'a Deployment,
     pub(crate) scenario: &'a Scenario,
     pub(crate) policy: Policy,
     pub(crate) placement: PlacementPolicy,
-    /// Draws of callers and of service times.
+    /// Random numbers for callers and service times.
     pub(crate) rng: SmallRng,
-    /// Draws of the demand alone, so that every policy meets the same requests.
+    /// Random numbers for the demand alone, so that every policy gets the same requests.
     pub(crate) demand_rng: SmallRng,
     pub(crate) epoch: Instant,
     pub(crate) at: Duration,
@@ -100,35 +100,35 @@
     pub(crate) replies: Vec<Option<Reply>>,
     pub(crate) free_replies: Vec<usize>,
     pub(crate) outcomes: Outcomes,
-    /// Nodes that stand still.
+    /// Nodes that hang.
     pub(crate) frozen: Vec<usize>,
     saturation_rate: f64,
 }
 
-/// Runs a scenario under a policy; the same seed gives the same outcomes.
+/// Runs a scenario under a policy; the same seed gives the same results.
 pub(crate) fn run(
     deployment: &Deployment,
     scenario: &Scenario,
     policy: Policy,
     seed: u64,
 ) -> Outcomes {
-    let mut world = World::new(deployment, scenario, policy, seed);
-    faults::prepare(&mut world);
-    world.schedule(Duration::ZERO, Event::Arrival);
-    world.schedule(scenario.begins, Event::FaultBegins);
-    world.schedule(scenario.ends, Event::FaultEnds);
-    world.schedule(BIN, Event::Sample);
-    while let Some(Reverse((at, _, event))) = world.events.pop() {
+    let mut simulation = Simulation::new(deployment, scenario, policy, seed);
+    faults::prepare(&mut simulation);
+    simulation.schedule(Duration::ZERO, Event::Arrival);
+    simulation.schedule(scenario.begins, Event::FaultBegins);
+    simulation.schedule(scenario.ends, Event::FaultEnds);
+    simulation.schedule(BIN, Event::Sample);
+    while let Some(Reverse((at, _, event))) = simulation.events.pop() {
         if at > scenario.lasts {
             break;
         }
-        world.at = at;
-        world.handle(event);
+        simulation.at = at;
+        simulation.handle(event);
     }
-    world.outcomes
+    simulation.outcomes
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     fn new(deployment: &'a Deployment, scenario: &'a Scenario, policy: Policy, seed: u64) -> Self {
         let epoch = Instant::now();
         let mut services = vec![Vec::new(); deployment.services.len()];
@@ -142,7 +142,7 @@
         let node = |&(service, data_centre): &(usize, usize)| {
             new_node(deployment, &services, &places, service, data_centre, epoch)
         };
-        World {
+        Simulation {
             nodes: places.iter().map(node).collect(),
             deployment,
             scenario,
@@ -180,7 +180,7 @@
         self.events.push(Reverse(entry));
     }
 
-    /// What reaches a node that stands still is handled when it goes on.
+    /// Returns whether the event is for a frozen node, which handles it when it resumes.
     fn is_held_back(&self, event: &Event) -> bool {
         let at = |call: &CallKey, node: fn(&Call) -> usize| {
             let call = self.arena.calls.get(call);
@@ -193,7 +193,7 @@
                 is_current && at(call, |call| call.upstream)
             }
             Event::WorkDone(call, _) => at(call, |call| call.upstream),
-            Event::AtEntry(call) | Event::Reply(call, _) | Event::LookForSilence(call, _) => {
+            Event::AtEntry(call) | Event::Reply(call, _) | Event::CheckSilence(call, _) => {
                 at(call, |call| call.from)
             }
             Event::Wake(node) => self.frozen.contains(node),
@@ -211,10 +211,10 @@
             Event::Send(request) => self.send(request),
             Event::AtEntry(call) => self.make_call(call),
             Event::AtUpstream(call, send) => self.reach_upstream(call, send),
-            Event::LookForSilence(call, send) => self.look_for_silence(call, send),
+            Event::CheckSilence(call, send) => self.check_silence(call, send),
             Event::WorkDone(call, phase) => self.work_done(call, phase),
             Event::Reply(call, reply) => self.reply(call, reply),
-            Event::GivesUp(request, attempt) => self.gives_up(request, attempt),
+            Event::CallerTimeout(request, attempt) => self.caller_timed_out(request, attempt),
             Event::AtCaller(request, attempt, answered, refused) => {
                 self.at_caller(request, attempt, answered, refused);
             }
@@ -229,7 +229,8 @@
         }
     }
 
-    /// The stream is drawn at the highest rate of the scenario and thinned.
+    /// Draws the next arrival from a process at the scenario's highest rate, which is then
+    /// thinned.
     fn arrival(&mut self) {
         let highest = self.scenario.pressure.max(self.scenario.calm);
         let uniform: f64 = self.demand_rng.random();
@@ -244,8 +245,8 @@
     }
 
     fn draw_kind(&mut self) -> usize {
-        let pressed = self.scenario.is_pressed(self.at);
-        let shares = self.scenario.shares.filter(|_| pressed);
+        let under_pressure = self.scenario.is_under_pressure(self.at);
+        let shares = self.scenario.shares.filter(|_| under_pressure);
         let mut left: f64 = self.demand_rng.random();
         for (index, kind) in self.deployment.kinds.iter().enumerate() {
             left -= shares.map_or(kind.share, |shares| shares[index]);
@@ -261,7 +262,7 @@
         -(1.0 - uniform).ln() * mean
     }
 
-    /// Time of a message from one node to another.
+    /// Returns the delay of a message from one node to another.
     pub(crate) fn delay(&self, from: usize, to: usize) -> Duration {
         const SAME_DATA_CENTRE: Duration = Duration::from_micros(100);
         let data_centre = |node: usize| self.nodes[node].upstream.data_centre;
--- a/crates/hemlocktack-decide/examples/scenarios/main.rs
+++ b/crates/hemlocktack-decide/examples/scenarios/main.rs
@@ -1,5 +1,5 @@
-//! Runs the scenarios of the decisions under load in virtual time and prints a
-//! table: `cargo run --release -p hemlocktack-decide --example scenarios`.
+//! Runs the overload scenarios in virtual time and prints a table: `cargo run --release -p
+//! hemlocktack-decide --example scenarios`.
 
 mod driver;
 mod plot;
@@ -14,10 +14,10 @@
 use report::Row;
 use settings::{Output, Settings};
 
-/// The smallest deployment is run without pressure only.
+/// The smallest deployment runs only the scenario without pressure.
 const SMALLEST: &str = "quickstart";
 const NO_LOAD: &str = "quiet";
-/// Runs at once: leaves the other cores of a shared machine alone.
+/// Concurrent runs; leaves the other cores of a shared machine free.
 const WORKERS: usize = 2;
 
 fn main() -> ExitCode {
--- a/crates/hemlocktack-decide/examples/scenarios/plot.rs
+++ b/crates/hemlocktack-decide/examples/scenarios/plot.rs
@@ -1,4 +1,4 @@
-//! Goodput and waiting calls over time, one panel for each run.
+//! Plots goodput and waiting calls over time, one panel per run.
 
 use std::path::Path;
 
--- a/crates/hemlocktack-decide/examples/scenarios/report.rs
+++ b/crates/hemlocktack-decide/examples/scenarios/report.rs
@@ -1,4 +1,4 @@
-//! The table and the targets.
+//! The results table and the targets.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -9,24 +9,24 @@
 use crate::driver::with_long_calls;
 use crate::driver::{BIN, Deployment, Fault, Outcomes, Policy, Scenario, allowed};
 
-/// One run as it is printed.
+/// Results of one run, as printed.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Row {
     pub(crate) scenario: &'static str,
     pub(crate) deployment: &'static str,
     pub(crate) policy: String,
-    /// Answered in time under pressure, as a share of what capacity allows.
+    /// Requests answered in time under pressure, as a share of what capacity allows.
     pub(crate) goodput_share: f64,
-    /// The same with each request weighed by the slot time that it takes.
+    /// The same, with each request weighted by the slot time it takes.
     pub(crate) work_share: f64,
     pub(crate) class_shares: Vec<f64>,
     pub(crate) kinds: Vec<KindRow>,
-    /// Answered in time under pressure, as a share of what was asked, for the
-    /// most important class.
+    /// Requests of the most important class answered in time under pressure, as a share of its
+    /// demand.
     pub(crate) critical_answered_share: f64,
-    /// What the most important class asked for, as a share of capacity.
+    /// Demand of the most important class, as a share of capacity.
     pub(crate) critical_demand_share: f64,
-    /// `None`: not within the run.
+    /// `None` if the run ended before recovery.
     pub(crate) recovery_secs: Option<f64>,
     pub(crate) wasted_share: f64,
     pub(crate) retries_per_request: f64,
@@ -50,7 +50,7 @@
     pub(crate) ends: BTreeMap<String, u64>,
 }
 
-/// One bin of the series over time.
+/// One bin of the time series.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(crate) struct Point {
     pub(crate) at_secs: f64,
@@ -68,12 +68,12 @@
         let demand = demand(scenario, &outcomes);
         let effective = with_long_calls(deployment, scenario);
         let allowed_rates = allowed(&effective, &demand, &slots(deployment, scenario));
-        let pressed_secs = (scenario.ends - scenario.begins).as_secs_f64();
+        let pressure_secs = (scenario.ends - scenario.begins).as_secs_f64();
         let answered = |class: Option<u8>| -> f64 {
             let kinds = deployment.kinds.iter().zip(&outcomes.kinds);
             kinds
                 .filter(|(kind, _)| class.is_none_or(|class| kind.class_rank == class))
-                .map(|(_, outcome)| outcome.pressed_answered as f64)
+                .map(|(_, outcome)| outcome.answered_under_pressure as f64)
                 .sum()
         };
         let allowed = |class: Option<u8>| -> f64 {
@@ -82,23 +82,23 @@
                 .filter(|(kind, _)| class.is_none_or(|class| kind.class_rank == class))
                 .map(|(_, rate)| rate)
                 .sum();
-            per_sec * pressed_secs
+            per_sec * pressure_secs
         };
         let rows = deployment.kinds.iter().enumerate();
         let kinds: Vec<_> = rows
             .map(|(index, kind)| KindRow {
                 name: kind.name,
-                asked: outcomes.kinds[index].pressed,
-                allowed: (allowed_rates.per_kind[index] * pressed_secs) as u64,
-                answered: outcomes.kinds[index].pressed_answered,
+                asked: outcomes.kinds[index].under_pressure,
+                allowed: (allowed_rates.per_kind[index] * pressure_secs) as u64,
+                answered: outcomes.kinds[index].answered_under_pressure,
                 ends: outcomes.kinds[index].ends.clone(),
             })
             .collect();
         let last_class = deployment.kinds.iter().map(|kind| kind.class_rank).max();
         let classes = 0..=last_class.unwrap_or(0);
         let requests: u64 = outcomes.kinds.iter().map(|kind| kind.arrived).sum();
-        let critical: u64 = outcomes.kinds[0].pressed;
-        let patience = deployment.kinds.iter().map(|kind| kind.patience).max();
+        let critical: u64 = outcomes.kinds[0].under_pressure;
+        let timeout = deployment.kinds.iter().map(|kind| kind.timeout).max();
         Row {
             scenario: scenario.name,
             deployment: deployment.name,
@@ -112,7 +112,7 @@
             critical_answered_share: answered(Some(0)) / critical.max(1) as f64,
             critical_demand_share: critical_demand(deployment, scenario, &demand),
             recovery_secs: outcomes
-                .recovery(scenario.begins, scenario.ends, patience.unwrap_or_default())
+                .recovery(scenario.begins, scenario.ends, timeout.unwrap_or_default())
                 .map(|recovery| recovery.as_secs_f64()),
             wasted_share: outcomes.wasted_share(),
             retries_per_request: outcomes.retries as f64 / requests as f64,
@@ -128,7 +128,7 @@
     }
 }
 
-/// Answered over allowed slot time.
+/// Returns the answered slot time as a share of what capacity allows.
 fn work_share(deployment: &Deployment, kinds: &[KindRow]) -> f64 {
     let weighed = |count: fn(&KindRow) -> u64| -> f64 {
         let kinds = deployment.kinds.iter().zip(kinds);
@@ -139,21 +139,21 @@
     weighed(|row| row.answered) / weighed(|row| row.allowed)
 }
 
-/// Requests a second of each kind that were asked for under pressure.
+/// Returns the demand under pressure, in requests per second of each kind.
 fn demand(scenario: &Scenario, outcomes: &Outcomes) -> Vec<f64> {
-    let pressed_secs = (scenario.ends - scenario.begins).as_secs_f64();
+    let pressure_secs = (scenario.ends - scenario.begins).as_secs_f64();
     let kinds = outcomes.kinds.iter();
     kinds
-        .map(|kind| kind.pressed as f64 / pressed_secs)
+        .map(|kind| kind.under_pressure as f64 / pressure_secs)
         .collect()
 }
 
-/// What a restart costs of one upstream: a second down, then three seconds in
-/// which the work takes 5 times as long at first and falls to once, evenly: of
-/// these (1 - ln 5 / 4).
+/// Capacity lost by the restart of one upstream: a second down, then three seconds in which work
+/// takes 5 times as long at first, decreasing linearly to normal, which loses (1 - ln 5 / 4) of
+/// them.
 const COLD_START_LOSS: Duration = Duration::from_millis(1000 + 1793);
 
-/// Slots of each service, less what a fault takes away.
+/// Returns the slots of each service, minus what the fault takes away.
 fn slots(deployment: &Deployment, scenario: &Scenario) -> Vec<f64> {
     let services = deployment.services.iter().enumerate();
     services
@@ -165,8 +165,8 @@
                     whole - f64::from(spec.slots) * (1.0 - 1.0 / factor)
                 }
                 Fault::ColdStart => {
-                    let pressed = scenario.ends - scenario.begins;
-                    let lost = COLD_START_LOSS.as_secs_f64() / pressed.as_secs_f64();
+                    let under_pressure = scenario.ends - scenario.begins;
+                    let lost = COLD_START_LOSS.as_secs_f64() / under_pressure.as_secs_f64();
                     whole - f64::from(spec.slots) * lost
                 }
                 Fault::OverstatedSlots => whole - f64::from(spec.slots / 2),
@@ -228,16 +228,12 @@
     let _ = writeln!(text, "\nTargets of the policy hemlocktack:");
     for row in rows.iter().filter(|row| row.policy == "hemlocktack") {
         let missed = missed_targets(row, rows);
-        let verdict = if missed.is_empty() {
+        let result = if missed.is_empty() {
             "reached".to_owned()
         } else {
             format!("NOT reached: {}", missed.join("; "))
         };
-        let _ = writeln!(
-            text,
-            "{:<17} {:<13} {verdict}",
-            row.scenario, row.deployment
-        );
+        let _ = writeln!(text, "{:<17} {:<13} {result}", row.scenario, row.deployment);
     }
     text
 }
@@ -276,7 +272,7 @@
     format!("{:.1}%", share * 100.0)
 }
 
-/// What a row of hemlocktack misses, with the figure.
+/// Returns the targets that a row of policy hemlocktack misses, with the measured values.
 pub(crate) fn missed_targets(row: &Row, rows: &[Row]) -> Vec<String> {
     let mut missed = Vec::new();
     let mut require = |reached: bool, what: String| {
--- a/crates/hemlocktack-decide/examples/scenarios/settings.rs
+++ b/crates/hemlocktack-decide/examples/scenarios/settings.rs
@@ -1,4 +1,4 @@
-//! Flags.
+//! Command-line flags.
 
 use std::path::PathBuf;
 
@@ -86,7 +86,7 @@
     options().usage(&brief)
 }
 
-/// Settings from the command line; `None` when help was asked for.
+/// Parses the command line; returns `None` if help was requested.
 pub(crate) fn parse(arguments: impl Iterator<Item = String>) -> Result<Option<Settings>> {
     let matches = options().parse(arguments).map_err(Error::Flags)?;
     if matches.opt_present("help") {
--- a/crates/hemlocktack-decide/tests/scenarios.rs
+++ b/crates/hemlocktack-decide/tests/scenarios.rs
@@ -142,7 +142,7 @@
 
 /// The load endpoints report every upstream as full, or as idle. Callers must not notice.
 #[test]
-fn lying_load_reports_change_no_outcome() {
+fn wrong_load_reports_change_no_outcome() {
     let honest = Scenario {
         fault: Fault::Nothing,
         ..short("surge-2x")
@@ -150,10 +150,10 @@
     for deployment in [bhadralok(), pases_dorados()] {
         let honest = outcome(&deployment, &honest);
         for name in ["reports-full-2x", "reports-idle-2x"] {
-            let lied_to = outcome(&deployment, &short(name));
-            let change = (lied_to.goodput_share - honest.goodput_share).abs();
+            let misreported = outcome(&deployment, &short(name));
+            let change = (misreported.goodput_share - honest.goodput_share).abs();
             assert!(change < 0.02, "{name} {}: {change}", deployment.name);
-            assert!(lied_to.critical_answered_share >= 0.99);
+            assert!(misreported.critical_answered_share >= 0.99);
         }
     }
 }
