--- a/crates/hemlocktack-interface/src/announcements.rs
+++ b/crates/hemlocktack-interface/src/announcements.rs
@@ -1,4 +1,4 @@
-//! What upstreams say of themselves.
+//! Announcements of upstreams and readiness probes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,58 +6,58 @@
 use bytes::Bytes;
 use http::{Response, request};
 
-/// How upstreams announce themselves, and how a node is asked whether it is ready.
+/// Decodes upstreams' announcements and recognises readiness probes.
 #[derive(Clone, Copy)]
 pub struct AnnouncementCodec {
-    /// Reads an announcement; the error is told to the upstream and logged.
+    /// Decodes an announcement; the error is sent to the upstream and logged.
     pub read: fn(&request::Parts, &[u8]) -> Result<UpstreamMessage, String>,
-    /// Acknowledges what [`AnnouncementCodec::read`] has read.
+    /// Encodes the acknowledgement of an announcement.
     pub write_acknowledgement: fn() -> Response<Bytes>,
-    /// Whether a request asks if this node is ready.
+    /// Returns whether a request is a readiness probe.
     pub asks_readiness: fn(&request::Parts) -> bool,
 }
 
-/// One message of an upstream.
+/// A message of an upstream to its node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum UpstreamMessage {
-    /// It is there.
+    /// The upstream reports its state.
     Report(UpstreamReport),
-    /// It takes no new work from now on and ends soon.
+    /// The upstream accepts no new work and is about to stop.
     Leaving {
-        /// Names the upstream; a later start of it may have the same name.
+        /// Id of the upstream instance; a later instance may reuse it.
         upstream_start: String,
-        /// Unix milliseconds of the start, where it says.
+        /// Start time of the instance in Unix milliseconds, if the upstream reports it.
         started_unix_ms: Option<u64>,
     },
 }
 
-/// An upstream's report of itself.
+/// An upstream's report of its state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpstreamReport {
-    /// Names the upstream; a later start of it may have the same name.
+    /// Id of the upstream instance; a later instance may reuse it.
     pub upstream_start: String,
-    /// Service that it is an upstream of.
+    /// Service that the upstream belongs to.
     pub service: String,
-    /// Where it listens.
+    /// Address that the upstream listens on.
     pub address: SocketAddr,
-    /// Requests that it works on at once.
+    /// Number of requests that the upstream runs concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether the upstream accepts new work.
     pub state: AnnouncedState,
-    /// How much longer it is slow after its start.
+    /// Remaining time of the upstream's slow start.
     pub slow_start_left: Duration,
-    /// Rises with each message of one start: a lower one was overtaken.
+    /// Sequence number; increases with each message of one instance, so a lower one is stale.
     pub sequence: u64,
-    /// Unix milliseconds of the start, where it says. Of two starts of one name
-    /// the higher one is the later one.
+    /// Start time of the instance in Unix milliseconds, if the upstream reports it. Of two
+    /// instances with the same id, the one with the higher value is the later one.
     pub started_unix_ms: Option<u64>,
 }
 
-/// Whether an upstream takes new work.
+/// State that an upstream announces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnnouncedState {
-    /// It does.
+    /// Accepts new work.
     Ready,
-    /// It finishes what it has and ends.
+    /// Finishes its running requests and stops.
     Draining,
 }
--- a/crates/hemlocktack-interface/src/callers.rs
+++ b/crates/hemlocktack-interface/src/callers.rs
@@ -1,4 +1,4 @@
-//! Requests of callers.
+//! Requests of callers and responses to them.
 
 use std::time::Duration;
 
@@ -6,42 +6,41 @@
 use hemlocktack_protocol::{Header, Outcome, Reason};
 use http::{Response, request};
 
-/// How callers encode requests, and how answers are encoded for them.
+/// Decodes callers' requests and encodes error responses.
 #[derive(Clone, Copy)]
 pub struct CallerCodec {
-    /// Reads what the head of a request says; the reason is that of the refusal.
+    /// Decodes the head of a request; the error is the reason to refuse it with.
     pub read: fn(&request::Parts) -> Result<IncomingRequest, Reason>,
-    /// Headers that the system sets on a request that enters beside an
-    /// upstream of this service. Values that the caller sent under these names
-    /// have to be dropped first.
+    /// Returns the headers to set on a request that enters at a node of this service. Values that
+    /// the caller sent under these names must be removed first.
     pub origin_headers: fn(own_service: &str) -> Vec<Header>,
-    /// Encodes an end that is not an upstream's answer.
+    /// Encodes the response to a request that got no answer from an upstream.
     pub write_error: fn(&ErrorResponse) -> Response<Bytes>,
 }
 
-/// What the head of a request says.
+/// Decoded head of a caller's request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct IncomingRequest {
-    /// The caller's own name of the request; the same on every hop.
+    /// Request id chosen by the caller; the same on every hop.
     pub request_id: String,
-    /// The request that the upstream beside the node was running when it made
-    /// this one for it, where the deployment tells.
+    /// Id of the request that the node's upstream was running when it made this one, if the
+    /// deployment's format contains it.
     pub parent_request_id: Option<String>,
-    /// How long the caller says it waits.
+    /// Time until the caller's timeout.
     pub time_left: Option<Duration>,
-    /// Host that the request is addressed to, without a port.
+    /// Host of the request, without a port.
     pub host: String,
 }
 
-/// An end without an answer of an upstream.
+/// Response to a request that got no answer from an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ErrorResponse {
-    /// The caller's own name of the request; empty if it could not be read.
+    /// Request id chosen by the caller; empty if it could not be decoded.
     pub request_id: String,
-    /// `NotRun` is a promise: it has not run and never will.
+    /// Outcome; `NotRun` guarantees that the request has not run and never will.
     pub outcome: Outcome,
-    /// Why.
+    /// Why there is no answer.
     pub reason: Reason,
-    /// When there will be room again; `None` if coming back does not help.
+    /// When capacity is expected again; `None` if a retry would not help.
     pub retry_after: Option<Duration>,
 }
--- a/crates/hemlocktack-interface/src/lib.rs
+++ b/crates/hemlocktack-interface/src/lib.rs
@@ -1,10 +1,8 @@
-//! How a deployment's callers, upstreams and operators speak, as plain structs
-//! of functions.
+//! Wire formats of a deployment's callers, upstreams and operators, as tables of functions.
 //!
-//! The node decides; an [`Interface`] only translates. It holds no state, reads
-//! no clock and opens no connection: each function turns a message of the
-//! deployment into a type of ours or the other way round, so that it can be
-//! tested with tables.
+//! The node makes all decisions; an [`Interface`] only translates. It has no state, reads no clock
+//! and opens no connection. Each function converts between a message of the deployment and one of
+//! the project's types, so that it can be tested with tables.
 
 mod announcements;
 mod callers;
@@ -17,18 +15,17 @@
 use hemlocktack_config::Document;
 use hemlocktack_platform::StoreCodec;
 
-/// One deployment's way of speaking.
+/// The wire formats of one deployment.
 #[derive(Clone, Copy)]
 pub struct Interface {
-    /// Requests of callers and their answers.
+    /// Requests of callers and responses to them.
     pub callers: CallerCodec,
-    /// Requests to the upstream beside the node and its answers.
+    /// Requests to the node's upstream and its responses.
     pub upstreams: UpstreamCodec,
-    /// What upstreams say of themselves, and what asks whether the node is ready.
+    /// Announcements of upstreams and readiness probes.
     pub announcements: AnnouncementCodec,
     /// Objects in the platform's store.
     pub store: StoreCodec,
-    /// Reads the stored text of a configuration; the error says what is wrong
-    /// and where.
+    /// Parses the stored text of a configuration; the error describes each problem and its place.
     pub read_configuration: fn(&str) -> Result<Document, String>,
 }
--- a/crates/hemlocktack-interface/src/upstreams.rs
+++ b/crates/hemlocktack-interface/src/upstreams.rs
@@ -1,47 +1,47 @@
-//! Requests to the upstream beside the node.
+//! Requests to the node's upstream and its responses.
 
 use std::time::Duration;
 
 use hemlocktack_protocol::Reason;
 use http::{HeaderMap, response};
 
-/// How upstreams encode requests and answers.
+/// Encodes requests to the upstream and decodes its responses.
 #[derive(Clone, Copy)]
 pub struct UpstreamCodec {
-    /// Sets the headers of the system on a request: the time left, and the
-    /// start of the upstream that alone is to run it.
+    /// Sets the headers of a request: the time left, and the only upstream instance that may run
+    /// it.
     pub write_headers: fn(&mut HeaderMap, time_left: Duration, upstream_start: Option<&str>),
-    /// What the head of an answer says of the request that was sent with this id.
+    /// Classifies a response by its head, given the id of the request that was sent.
     pub check_answer: fn(&response::Parts, request_id: &str) -> AnswerCheck,
-    /// Reads an answer to a question for the upstream's health.
+    /// Decodes a health check response.
     pub read_health: fn(&response::Parts) -> Option<Health>,
-    /// Path of that question before a configuration names one.
+    /// Path of health checks, unless the configuration sets another.
     pub health_path: &'static str,
 }
 
-/// What the head of an upstream's answer says.
+/// Meaning of an upstream's response to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerCheck {
-    /// It is the answer to this request.
+    /// It is the answer to the request.
     Answer,
-    /// The upstream says that it has not run the request.
+    /// The upstream states that it has not run the request.
     NotRun(Reason),
-    /// Another start of an upstream listens there now; it has not run the request.
+    /// A different upstream instance listens at the address; it has not run the request.
     OtherInstance,
-    /// It answers another request, which says nothing of this one.
+    /// It answers another request and says nothing about this one.
     OtherRequest,
-    /// It is an answer of this request with a status that promises that it has
-    /// not run, without the upstream's word for it.
+    /// It is an answer to the request whose status implies that it has not run, without the
+    /// upstream stating so explicitly.
     UnconfirmedNotRun,
 }
 
-/// What an upstream says of itself when it is asked.
+/// Health check result of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Health {
-    /// Names this start of the upstream.
+    /// Id of the upstream instance.
     pub upstream_start: String,
-    /// It takes work, as far as it knows.
+    /// Whether the upstream reports that it accepts work.
     pub is_healthy: bool,
-    /// Requests that it works on at once, where it says so.
+    /// Number of requests that the upstream runs concurrently, if it reports it.
     pub slots: Option<u32>,
 }
