--- a/crates/hemlocktack-telemetry/benches/spans.rs
+++ b/crates/hemlocktack-telemetry/benches/spans.rs
@@ -1,5 +1,4 @@
-//! Cost of tracing for one call: its four spans on the node beside the upstream
-//! and the headers between them.
+//! Cost of tracing one call on the node of its upstream: its spans and the headers between them.
 //!
 //! `cargo bench -p hemlocktack-telemetry`
 
@@ -25,13 +24,16 @@
     Tracer::new("keys-1".into(), "keys".into(), None)
 }
 
-/// Hop, queue and upstream of one call, as the node's upstream side does it.
+/// Traces hop, queue and upstream of one call, as the node of the upstream does.
 fn one_call(tracer: &Tracer, traceparent: &str, end: SpanEnd) -> String {
     let hop = tracer.start(tracer.context_of(Some(traceparent)), SpanName::Hop);
-    let passed = hop.context().header();
-    let queue = tracer.start(tracer.context_of(Some(&passed)), SpanName::Queue);
+    let forwarded_header = hop.context().header();
+    let queue = tracer.start(tracer.context_of(Some(&forwarded_header)), SpanName::Queue);
     queue.end(tracer, SpanEnd::DONE, String::new);
-    let upstream = tracer.start(tracer.context_of(Some(&passed)), SpanName::Upstream);
+    let upstream = tracer.start(
+        tracer.context_of(Some(&forwarded_header)),
+        SpanName::Upstream,
+    );
     let header = upstream.context().header();
     upstream.end(tracer, end, || "GET /slots".to_owned());
     hop.end(tracer, end, || "GET /slots".to_owned());
--- a/crates/hemlocktack-telemetry/src/export.rs
+++ b/crates/hemlocktack-telemetry/src/export.rs
@@ -1,4 +1,4 @@
-//! Export of sampled spans to a collector (OTLP over HTTP).
+//! Exports sampled spans to a collector (OTLP over HTTP).
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -20,27 +20,27 @@
 
 const TRACES_PATH: &str = "/v1/traces";
 const SCOPE: &str = "hemlocktack";
-/// Spans that wait for export; more are lost and counted, so that a slow
-/// collector costs memory and calls nothing.
+/// Capacity of the export queue. Further spans are dropped and counted, so that a slow collector
+/// takes no further memory and does not slow down calls.
 const QUEUE_SPANS: usize = 2_048;
 const BATCH_SPANS: usize = 256;
-/// A batch that does not fill leaves after this long.
+/// Time after which an incomplete batch is exported.
 const BATCH_WAIT: Duration = Duration::from_secs(1);
 const EXPORT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why export could not be started.
+/// Error of starting the export.
 #[derive(Debug, Display, Error, From)]
 #[display("spans cannot be exported: {_variant}")]
 pub enum ExportError {
-    /// No HTTP client could be made.
+    /// The HTTP client could not be created.
     #[display("{_0}")]
     Client(reqwest::Error),
-    /// The endpoint cannot be used.
+    /// The endpoint is invalid.
     #[display("{_0}")]
     Exporter(ExporterBuildError),
 }
 
-/// Spans on their way to the collector.
+/// Queue of spans to be exported to the collector.
 #[derive(Clone, Debug)]
 pub struct ExportQueue {
     spans: mpsc::Sender<SpanRecord>,
@@ -59,12 +59,12 @@
     }
 }
 
-/// Starts a task that exports until the queue and its copies are dropped.
+/// Starts a task that exports spans until the queue and all its clones are dropped.
 ///
 /// Must be called within a tokio runtime.
 ///
 /// # Errors
-/// Where the endpoint is no URL, or the HTTP client cannot be made here.
+/// Fails if the endpoint is not a URL, or if the HTTP client cannot be created on this machine.
 pub fn start_export(
     endpoint: &str,
     node_id: &NodeId,
@@ -88,7 +88,7 @@
     })
 }
 
-/// Endpoints are written with and without the path of the signal.
+/// Returns the URL for traces; the endpoint may contain its path or not.
 fn traces_url(endpoint: &str) -> String {
     let base = endpoint.trim_end_matches('/');
     if base.ends_with(TRACES_PATH) {
@@ -128,8 +128,8 @@
     }
 }
 
-/// Waits for a first span, then for more until the batch is full or has waited
-/// long enough; `None` when no more can come.
+/// Waits for a span, then for more until the batch is full or `BATCH_WAIT` has passed; `None` if
+/// the queue is closed.
 async fn next_batch(spans: &mut mpsc::Receiver<SpanRecord>) -> Option<Vec<SpanRecord>> {
     let mut batch = vec![spans.recv().await?];
     let fill = async {
@@ -186,7 +186,7 @@
         let outcome: &'static str = record.end.outcome.into();
         attributes.push(KeyValue::new("hemlocktack.outcome", outcome));
     }
-    if record.end.is_unfinished() {
+    if record.end.is_failure() {
         let reason: &'static str = record.end.reason.into();
         attributes.push(KeyValue::new("hemlocktack.reason", reason));
     }
@@ -194,7 +194,7 @@
 }
 
 fn status(record: &SpanRecord) -> Status {
-    if !record.end.is_unfinished() {
+    if !record.end.is_failure() {
         return Status::Unset;
     }
     let reason: &'static str = record.end.reason.into();
--- a/crates/hemlocktack-telemetry/src/lib.rs
+++ b/crates/hemlocktack-telemetry/src/lib.rs
@@ -1,5 +1,4 @@
-//! What a node tells of itself while it runs: numbered events for logs, and
-//! spans for traces.
+//! Telemetry of a node: numbered log events, and spans of traces.
 
 mod event;
 mod export;
--- a/crates/hemlocktack-telemetry/src/recent.rs
+++ b/crates/hemlocktack-telemetry/src/recent.rs
@@ -1,15 +1,15 @@
-//! The last spans of a node, kept for operators' questions.
+//! The most recent spans of a node, kept for operators' queries.
 
 use std::collections::VecDeque;
 use std::sync::{Mutex, PoisonError};
 
 use crate::{SpanRecord, TraceId};
 
-/// Traces are spread over these by their number, so that threads which end
-/// spans at the same time seldom meet.
+/// Traces are distributed over shards by their ids, so that threads which end spans at the same
+/// time rarely contend for a lock.
 const SHARDS: usize = 16;
 
-/// A bounded number of spans; the oldest go first.
+/// Bounded buffer of spans; the oldest ones are evicted first.
 #[derive(Debug)]
 pub struct RecentSpans {
     shards: [Mutex<VecDeque<SpanRecord>>; SHARDS],
@@ -17,7 +17,7 @@
 }
 
 impl RecentSpans {
-    /// Keeps about `limit` spans.
+    /// Creates a buffer for about `limit` spans.
     pub fn new(limit: usize) -> Self {
         RecentSpans {
             shards: std::array::from_fn(|_| Mutex::default()),
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Keeps a span, in place of the oldest one where there is no room.
+    /// Adds a span, and evicts the oldest one of its shard if that is full.
     pub fn push(&self, record: SpanRecord) {
         let mut shard = self
             .shard(record.trace_id)
@@ -37,7 +37,7 @@
         shard.push_back(record);
     }
 
-    /// The kept spans of a trace, in the order in which they ended.
+    /// Returns the kept spans of a trace, in the order in which they ended.
     pub fn of_trace(&self, trace_id: TraceId) -> Vec<SpanRecord> {
         let shard = self
             .shard(trace_id)
@@ -50,8 +50,8 @@
             .collect()
     }
 
-    /// Trace ids are random in their low bits by the standard; a caller that
-    /// counts up spreads as well.
+    /// Returns the shard of a trace. The standard makes the low bits of trace ids random;
+    /// sequential ids are distributed evenly too.
     fn shard(&self, trace_id: TraceId) -> &Mutex<VecDeque<SpanRecord>> {
         &self.shards[(trace_id % SHARDS as TraceId) as usize]
     }
--- a/crates/hemlocktack-telemetry/src/span.rs
+++ b/crates/hemlocktack-telemetry/src/span.rs
@@ -1,4 +1,4 @@
-//! One hop or one wait of a request.
+//! Spans: the processing or a wait of a request on one node.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -8,45 +8,45 @@
 
 use crate::{SpanId, TraceContext, TraceId, Tracer};
 
-/// What a span covers.
+/// What a span measures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, EnumIter, IntoStaticStr)]
 #[strum(serialize_all = "kebab-case")]
 pub enum SpanName {
-    /// A request at the node where it enters, until its answer leaves.
+    /// A request at its entry node, until its answer is sent.
     Entry,
-    /// Wait for another node's reply over a link.
+    /// Wait for the reply of another node over a link.
     Link,
-    /// A call at the node beside the upstream.
+    /// A call at the node of the upstream that runs it.
     Hop,
-    /// Wait for a slot of the upstream.
+    /// Wait for a free slot of the upstream.
     Queue,
     /// Wait for the upstream's answer.
     Upstream,
 }
 
-/// How what a span covers ended.
+/// Result of what a span measures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SpanEnd {
-    /// `Unspecified` for waits that have no outcome of their own.
+    /// Outcome; `Unspecified` for waits, which have none of their own.
     pub outcome: Outcome,
-    /// Why, where there is no answer.
+    /// Why there is no answer, if there is none.
     pub reason: Reason,
 }
 
 impl SpanEnd {
-    /// A wait that is over.
+    /// End of a wait, without an outcome.
     pub const DONE: SpanEnd = SpanEnd {
         outcome: Outcome::Unspecified,
         reason: Reason::Unspecified,
     };
 
-    /// Whether there is something to explain to an operator.
-    pub(crate) fn is_unfinished(&self) -> bool {
+    /// Returns whether there was no answer, which operators may ask about.
+    pub(crate) fn is_failure(&self) -> bool {
         matches!(self.outcome, Outcome::NotRun | Outcome::Unknown)
     }
 }
 
-/// A span that goes on.
+/// A span that has not ended yet.
 #[derive(Clone, Copy, Debug)]
 pub struct ActiveSpan {
     pub(crate) name: SpanName,
@@ -56,44 +56,44 @@
 }
 
 impl ActiveSpan {
-    /// For what happens within this span, in this process or another.
+    /// Returns the trace context for child spans, in this process or another.
     pub fn context(&self) -> TraceContext {
         self.context
     }
 
-    /// Time since it was started.
+    /// Returns the time since the start of the span.
     pub fn elapsed(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// Ends the span; `detail` is made only if the span is recorded.
+    /// Ends the span; `detail` is only evaluated if the span is recorded.
     pub fn end(self, tracer: &Tracer, end: SpanEnd, detail: impl FnOnce() -> String) {
-        tracer.ended(self, end, detail);
+        tracer.record_end(self, end, detail);
     }
 }
 
 /// A span that has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SpanRecord {
-    /// Trace that it belongs to.
+    /// Trace that the span belongs to.
     pub trace_id: TraceId,
-    /// Its own number.
+    /// Id of the span.
     pub span_id: SpanId,
-    /// Span around it; 0 for the first of a trace.
+    /// Parent span; 0 for the first span of a trace.
     pub parent: SpanId,
-    /// What it covers.
+    /// What the span measures.
     pub name: SpanName,
-    /// Microseconds since 1970, by this machine's clock: for people.
+    /// Start time in microseconds since 1970, by this machine's wall clock; only for display.
     pub started_unix_us: u64,
-    /// Measured by a steady clock.
+    /// Duration, measured with a monotonic clock.
     pub duration_us: u64,
-    /// How it ended.
+    /// Result of what the span measures.
     pub end: SpanEnd,
-    /// Node that recorded it.
+    /// Node that recorded the span.
     pub node_id: NodeId,
-    /// Service of that node.
+    /// Service of the node.
     pub service: ServiceName,
-    /// Method and path, or the like.
+    /// Details such as method and path.
     pub detail: Arc<str>,
 }
 
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Form that operators get.
+    /// Converts the span to the message that is sent to operators.
     pub fn to_message(&self) -> Span {
         Span {
             trace_id: format!("{:032x}", self.trace_id),
--- a/crates/hemlocktack-telemetry/src/trace_context.rs
+++ b/crates/hemlocktack-telemetry/src/trace_context.rs
@@ -1,33 +1,33 @@
-//! W3C trace context.
+//! W3C trace context: the `traceparent` header.
 
-/// Number of a trace; never 0.
+/// Id of a trace; never 0.
 pub type TraceId = u128;
-/// Number of a span; never 0.
+/// Id of a span; never 0.
 pub type SpanId = u64;
 
-/// The only version of `traceparent` so far; later ones begin the same way.
+/// The only version of `traceparent` so far; later ones start with the same fields.
 const VERSION: &str = "00";
 const INVALID_VERSION: &[u8] = b"ff";
 const SAMPLED_FLAG: u128 = 1;
-/// Where the parts of a header meet.
+/// Positions of the dashes between the fields of the header.
 const DASHES: [usize; 3] = [2, 35, 52];
 const HEADER_LENGTH: usize = 55;
 const TRACE_ID_DIGITS: usize = 32;
 
-/// Where in which trace something happens.
+/// Position in a trace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TraceContext {
-    /// Same for all of one request.
+    /// Id of the trace; the same for all spans of a request.
     pub trace_id: TraceId,
-    /// The span around what happens; 0 at the beginning of a trace.
+    /// Id of the enclosing span; 0 at the beginning of a trace.
     pub span_id: SpanId,
     /// Whether the spans of this trace are recorded.
     pub sampled: bool,
 }
 
 impl TraceContext {
-    /// Reads a `traceparent` header; `None` where it is malformed, which by the
-    /// standard counts as absent.
+    /// Parses a `traceparent` header. Returns `None` if it is malformed, which the standard treats
+    /// as absent.
     pub fn parse(header: &str) -> Option<Self> {
         let header = header.trim().as_bytes();
         let (known, rest) = header.split_at_checked(HEADER_LENGTH)?;
@@ -46,7 +46,7 @@
         })
     }
 
-    /// Value of a `traceparent` header.
+    /// Returns the value of a `traceparent` header.
     pub fn header(&self) -> String {
         let mut header = String::with_capacity(HEADER_LENGTH);
         header.push_str(VERSION);
@@ -60,8 +60,8 @@
     }
 }
 
-/// Runs twice for every call; `format!` takes about three times as long
-/// (`benches/spans.rs`).
+/// Appends bytes as hexadecimal digits. This runs twice for every call, and `format!` takes about
+/// three times as long (`benches/spans.rs`).
 fn push_hex(text: &mut String, bytes: &[u8]) {
     const DIGITS: [char; 16] = [
         '0', '1', '2', '3', '4', '5', '6', '7', '8', '9', 'a', 'b', 'c', 'd', 'e', 'f',
@@ -72,7 +72,7 @@
     }
 }
 
-/// Reads a trace id as headers and operators write it.
+/// Parses a trace id in the form used by headers and operators.
 pub fn parse_trace_id(text: &str) -> Option<TraceId> {
     if text.len() != TRACE_ID_DIGITS {
         return None;
@@ -80,7 +80,8 @@
     read_hex(text.as_bytes()).filter(|trace_id| *trace_id != 0)
 }
 
-/// Later versions begin the same way and may go on after another dash.
+/// Returns whether the version is supported. Later versions start with the same fields and may add
+/// more after another dash.
 fn is_version(version: &[u8], rest: &[u8]) -> bool {
     if version == VERSION.as_bytes() {
         return rest.is_empty();
@@ -89,7 +90,7 @@
     is_later && (rest.is_empty() || rest[0] == b'-')
 }
 
-/// Lower-case digits only, as the standard asks; at most 32.
+/// Parses up to 32 hexadecimal digits; the standard allows only lower case.
 fn read_hex(digits: &[u8]) -> Option<u128> {
     let mut number = 0;
     for digit in digits {
--- a/crates/hemlocktack-telemetry/src/tracer.rs
+++ b/crates/hemlocktack-telemetry/src/tracer.rs
@@ -1,4 +1,4 @@
-//! Starts and ends spans, and decides which are kept and exported.
+//! Starts and ends spans, and decides which ones are kept and exported.
 
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Instant;
@@ -8,12 +8,11 @@
 use crate::{ActiveSpan, ExportQueue, RecentSpans, SpanEnd, SpanName, SpanRecord, TraceContext};
 
 const MILLION: u32 = 1_000_000;
-/// About 1 MB at 250 bytes a span. Under overload most records are refusals;
-/// at a thousand a second this covers the last four seconds, and sampled
-/// traces are in the collector.
+/// About 1 MB at 250 bytes per span. Under overload most records are refusals; at a thousand per
+/// second this covers the last four seconds. Sampled traces are in the collector as well.
 const RECENT_SPANS: usize = 4_096;
 
-/// Tracing of one node.
+/// Records the spans of one node.
 #[derive(Debug)]
 pub struct Tracer {
     node_id: NodeId,
@@ -24,8 +23,8 @@
 }
 
 impl Tracer {
-    /// Traces nothing until a sample share is set, but for requests whose
-    /// callers ask for it.
+    /// Creates a tracer that samples only requests whose callers ask for it, until a sample rate is
+    /// set.
     pub fn new(node_id: NodeId, service: ServiceName, export: Option<ExportQueue>) -> Self {
         Tracer {
             node_id,
@@ -36,27 +35,27 @@
         }
     }
 
-    /// Sets the share of requests that are traced from end to end.
+    /// Sets how many of a million requests are traced from end to end.
     pub fn set_sample_per_million(&self, sample_per_million: u32) {
         self.sample_per_million
             .store(sample_per_million, Ordering::Relaxed);
     }
 
-    /// Context of a request that arrives: its caller's where it sent one, which
-    /// then has decided about sampling, or the beginning of a new trace.
+    /// Returns the context of an incoming request: the caller's if it sent one, including its
+    /// sampling decision, or that of a new trace.
     pub fn context_of(&self, traceparent: Option<&str>) -> TraceContext {
         if let Some(context) = traceparent.and_then(TraceContext::parse) {
             return context;
         }
-        let share = self.sample_per_million.load(Ordering::Relaxed);
+        let rate = self.sample_per_million.load(Ordering::Relaxed);
         TraceContext {
             trace_id: rand::random_range(1..=u128::MAX),
             span_id: 0,
-            sampled: rand::random_range(0..MILLION) < share,
+            sampled: rand::random_range(0..MILLION) < rate,
         }
     }
 
-    /// Starts a span within the context.
+    /// Starts a span as a child of the context.
     pub fn start(&self, context: TraceContext, name: SpanName) -> ActiveSpan {
         ActiveSpan {
             name,
@@ -69,21 +68,26 @@
         }
     }
 
-    /// The last spans.
+    /// Returns the most recent spans.
     pub fn recent(&self) -> &RecentSpans {
         &self.recent
     }
 
-    /// Spans that the collector did not get, since the start of the node.
+    /// Returns how many spans were not delivered to the collector since the start of the node.
     pub fn lost_span_count(&self) -> u64 {
         self.export.as_ref().map_or(0, ExportQueue::lost_span_count)
     }
 
-    /// A refusal or an unknown outcome is kept for operators even if its trace
-    /// is not sampled: these are the calls that operators ask about.
-    pub(crate) fn ended(&self, span: ActiveSpan, end: SpanEnd, detail: impl FnOnce() -> String) {
+    /// Records the end of a span. A refusal or an unknown outcome is kept even if its trace is not
+    /// sampled, because operators ask about these calls.
+    pub(crate) fn record_end(
+        &self,
+        span: ActiveSpan,
+        end: SpanEnd,
+        detail: impl FnOnce() -> String,
+    ) {
         let sampled = span.context.sampled;
-        if !sampled && !end.is_unfinished() {
+        if !sampled && !end.is_failure() {
             return;
         }
         let node_id = self.node_id.clone();
--- a/crates/hemlocktack-telemetry/tests/events.rs
+++ b/crates/hemlocktack-telemetry/tests/events.rs
@@ -1,4 +1,4 @@
-//! The catalogue of events and its page.
+//! The event catalogue and its page in the docs.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::BTreeSet;
@@ -11,7 +11,7 @@
 use strum::IntoEnumIterator;
 
 const PAGE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/EVENTS.md");
-/// Set to write the table anew after a change of the catalogue.
+/// Set this to regenerate the table after a change of the catalogue.
 const REGENERATE_VARIABLE: &str = "HEMLOCKTACK_REGENERATE";
 const TABLE_BEGIN: &str = "| number | name | level | meaning | what to do |\n";
 
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn numbers_are_in_order_and_stand_once() {
+fn numbers_are_unique_and_in_order() {
     let numbers = Event::iter().map(Event::number).collect::<Vec<_>>();
     let in_order = numbers.iter().copied().collect::<BTreeSet<_>>();
     assert!(in_order.into_iter().eq(numbers));
@@ -86,12 +86,12 @@
     let text = String::from_utf8(lines.0.lock().unwrap().clone()).unwrap();
     assert_eq!(
         text,
-        " WARN the platform does not answer; calls go on with the configuration in force number=303\n \
-         INFO the node takes nothing new and finishes what is in flight number=103 in_flight_count=3 node=\"keys-1\"\n"
+        " WARN the platform does not respond; calls continue with the configuration in force number=303\n \
+         INFO the node is draining: it accepts no new calls and finishes those in flight number=103 in_flight_count=3 node=\"keys-1\"\n"
     );
 }
 
-/// An event that nothing logs would have operators wait for a line in vain.
+/// Operators would wait in vain for an event that nothing logs.
 #[test]
 fn every_event_is_logged_somewhere() {
     let packages = Path::new(env!("CARGO_MANIFEST_DIR")).parent().unwrap();
@@ -108,8 +108,8 @@
         ];
         calls.iter().any(|call| sources.contains(call))
     };
-    let silent = Event::iter().filter(|event| !is_logged(event));
-    assert_eq!(silent.collect::<Vec<_>>(), []);
+    let unused = Event::iter().filter(|event| !is_logged(event));
+    assert_eq!(unused.collect::<Vec<_>>(), []);
 }
 
 fn read_sources(directory: &Path, sources: &mut String) {
--- a/crates/hemlocktack-telemetry/tests/export.rs
+++ b/crates/hemlocktack-telemetry/tests/export.rs
@@ -1,4 +1,4 @@
-//! Export to a small stand-in of a collector.
+//! Export to a fake collector.
 #![allow(clippy::unwrap_used)]
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -14,14 +14,14 @@
 use prost::Message;
 
 const TRACEPARENT: &str = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
-const PATIENCE: Duration = Duration::from_secs(20);
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(20);
 
 struct Collector {
     endpoint: String,
     requests: mpsc::Receiver<(String, ExportTraceServiceRequest)>,
 }
 
-/// Answers each export with the status.
+/// Starts a collector that responds to each export with the status.
 fn collector(status: u16) -> Collector {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let endpoint = format!("http://{}", listener.local_addr().unwrap());
@@ -95,7 +95,7 @@
     let tracer = tracer(&collector.endpoint);
     record_hop_with_queue(&tracer, TRACEPARENT);
     drop(tracer);
-    let (request_line, request) = collector.requests.recv_timeout(PATIENCE).unwrap();
+    let (request_line, request) = collector.requests.recv_timeout(RECEIVE_TIMEOUT).unwrap();
     assert_eq!(request_line, "POST /v1/traces HTTP/1.1");
     let resource = request.resource_spans[0].resource.as_ref().unwrap();
     assert!(
@@ -125,16 +125,16 @@
     record_hop_with_queue(&tracer, &TRACEPARENT.replace("-01", "-00"));
     record_hop_with_queue(&tracer, &TRACEPARENT.replace("0af7", "1af7"));
     drop(tracer);
-    let (_, request) = collector.requests.recv_timeout(PATIENCE).unwrap();
+    let (_, request) = collector.requests.recv_timeout(RECEIVE_TIMEOUT).unwrap();
     let spans = &request.resource_spans[0].scope_spans[0].spans;
-    // Spans leave in order: an unsampled one would have come before these.
+    // Spans are exported in order, so an unsampled one would have come before these.
     assert!(spans.iter().all(|span| span.trace_id[0] == 0x1a));
 }
 
-/// The collector is down. Spans wait for it only in a bounded queue: the rest
-/// are lost and counted, and no call is slowed down or refused for them.
+/// The collector is down. Spans wait only in a bounded queue; the rest are dropped and counted, and
+/// no call is slowed down or refused because of them.
 #[test]
-fn a_collector_that_is_down_costs_spans_and_nothing_else() {
+fn an_unreachable_collector_only_loses_spans() {
     let runtime = runtime();
     let _inside = runtime.enter();
     let closed = TcpListener::bind("127.0.0.1:0")
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn an_endpoint_that_is_none_is_refused_at_the_start() {
+fn an_invalid_endpoint_is_rejected_at_the_start() {
     let runtime = runtime();
     let _inside = runtime.enter();
     assert!(start_export("http://[", &"keys-1".into(), &"keys".into()).is_err());
--- a/crates/hemlocktack-telemetry/tests/trace_context.rs
+++ b/crates/hemlocktack-telemetry/tests/trace_context.rs
@@ -1,4 +1,4 @@
-//! W3C trace context, in and out.
+//! Parsing and formatting of the W3C trace context.
 #![allow(clippy::unwrap_used)]
 
 use hemlocktack_telemetry::{TraceContext, parse_trace_id};
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn what_the_standard_calls_invalid_counts_as_absent() {
+fn invalid_headers_count_as_absent() {
     let cases = [
         ("nothing", ""),
         ("words", "hello"),
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_later_version_is_read_as_far_as_it_is_known() {
+fn the_known_fields_of_a_later_version_are_read() {
     let later = HEADER.replacen("00", "01", 1) + "-more";
     let context = TraceContext::parse(&later).unwrap();
     assert_eq!(context.header(), HEADER);
@@ -76,7 +76,7 @@
     })]
 
     #[test]
-    fn no_text_makes_the_reader_panic(text in any::<String>(), digits in "[0-9a-f-]{0,60}") {
+    fn no_text_makes_the_parser_panic(text in any::<String>(), digits in "[0-9a-f-]{0,60}") {
         let _ = TraceContext::parse(&text);
         let _ = TraceContext::parse(&digits);
         let _ = parse_trace_id(&text);
--- a/crates/hemlocktack-telemetry/tests/tracer.rs
+++ b/crates/hemlocktack-telemetry/tests/tracer.rs
@@ -27,7 +27,7 @@
 };
 
 #[test]
-fn a_hop_and_its_wait_are_kept_with_their_order() {
+fn a_hop_and_its_wait_are_kept_with_their_parents() {
     let tracer = tracer(MILLION);
     let context = tracer.context_of(None);
     let hop = tracer.start(context, SpanName::Hop);
@@ -41,10 +41,10 @@
     assert_eq!(kept[1].to_message().detail, "GET /slots");
 }
 
-/// A caller is refused and gives the operator the trace id of its request. Most
-/// requests are not sampled, so without more there would be nothing to explain.
+/// An operator looks up a refused request by its trace id. Most requests are not sampled, so its
+/// spans must be kept regardless of sampling.
 #[test]
-fn a_refusal_is_kept_though_its_trace_is_not_sampled() {
+fn a_refusal_is_kept_even_if_its_trace_is_not_sampled() {
     let tracer = tracer(0);
     let context = tracer.context_of(None);
     record(&tracer, context, ANSWERED);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn the_caller_decides_about_sampling_where_it_traces() {
+fn a_callers_sampling_decision_is_kept() {
     let never = tracer(0);
     let always = tracer(MILLION);
     let sampled = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
@@ -66,10 +66,10 @@
     assert!(!never.context_of(Some("malformed")).sampled);
 }
 
-/// Overload: refusals are recorded at a high rate for a long time. The memory
-/// for them must not grow with it.
+/// A long overload records refusals at a high rate. Old spans must be evicted so that memory stays
+/// bounded.
 #[test]
-fn old_spans_make_room_for_new_ones() {
+fn old_spans_are_evicted_for_new_ones() {
     let tracer = tracer(0);
     let context = |trace_id| TraceContext {
         trace_id,
