--- a/crates/hemlocktack-protocol/src/headers.rs
+++ b/crates/hemlocktack-protocol/src/headers.rs
@@ -1,25 +1,25 @@
-//! HTTP headers of the system's own, towards callers and upstreams.
+//! HTTP headers exchanged with callers and upstreams.
 
 /// Ticket of a non-idempotent request.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
-/// Kind of caller as the operators declare it.
+/// Kind of the caller, as declared by the operators.
 pub const CALLER_KIND_HEADER: &str = "hemlocktack-caller-kind";
-/// How long the caller will wait, in milliseconds.
+/// Time until the caller's timeout, in milliseconds.
 pub const TIMEOUT_HEADER: &str = "hemlocktack-timeout-ms";
-/// Opaque; an upstream passes it on with the calls it makes for a call.
+/// Opaque call context; an upstream copies it to the child calls that it makes for a call.
 pub const CONTEXT_HEADER: &str = "hemlocktack-context";
 /// W3C trace context.
 pub const TRACEPARENT_HEADER: &str = "traceparent";
-/// `answered`, `not-run` or `unknown`, on every answer.
+/// Outcome of the request on every response: `answered`, `not-run` or `unknown`.
 pub const OUTCOME_HEADER: &str = "hemlocktack-outcome";
-/// Why, where the outcome is not `answered`.
+/// Reason for an outcome other than `answered`.
 pub const REASON_HEADER: &str = "hemlocktack-reason";
-/// Seconds after which the caller may come back.
+/// Seconds after which the caller may try again.
 pub const RETRY_AFTER_HEADER: &str = "retry-after";
 
-/// `Retry-After` is none of them: in an upstream's answer it is the upstream's
-/// word, and part of the whole answer.
-const OWN_HEADERS: [&str; 7] = [
+/// Headers that nodes process and set themselves. `Retry-After` is not one of them: in an
+/// upstream's answer it was set by the upstream and belongs to the answer.
+const RESERVED_HEADERS: [&str; 7] = [
     IDEMPOTENCY_KEY_HEADER,
     CALLER_KIND_HEADER,
     TIMEOUT_HEADER,
@@ -29,8 +29,10 @@
     REASON_HEADER,
 ];
 
-/// Whether the system sets this header itself, so that a caller's or an
-/// upstream's value is not passed through unread.
+/// Returns whether nodes process and set this header themselves, so that a value from a caller or
+/// an upstream is not forwarded unchanged.
 pub fn is_reserved_header(name: &str) -> bool {
-    OWN_HEADERS.iter().any(|own| own.eq_ignore_ascii_case(name))
+    RESERVED_HEADERS
+        .iter()
+        .any(|reserved| reserved.eq_ignore_ascii_case(name))
 }
--- a/crates/hemlocktack-protocol/src/lib.rs
+++ b/crates/hemlocktack-protocol/src/lib.rs
@@ -1,7 +1,7 @@
-//! Schema, generated messages and the plain types that every package shares.
+//! Schema, generated messages and basic types that all packages share.
 //!
-//! Nothing here does input or output. The schema files under `schema/` are the
-//! source; `src/generated/` is committed, so that the build needs no generator.
+//! Nothing here does I/O. The code in `src/generated/` is generated from the files in `schema/`; it
+//! is committed, so that the build needs no generator.
 
 mod generated;
 mod headers;
--- a/crates/hemlocktack-protocol/src/operators.rs
+++ b/crates/hemlocktack-protocol/src/operators.rs
@@ -1,9 +1,8 @@
-//! What both ends of the operators' remote procedure calls have to agree on
-//! beside the schema.
+//! Parts of the operators' remote procedure calls that the schema does not define.
 
 use strum::{EnumIter, EnumString, IntoStaticStr};
 
-/// First part of the path of each call; the method is the second.
+/// First path segment of each call; the second is the method.
 pub const OPERATORS_SERVICE: &str = "hemlocktack.v1.Operators";
 
 /// Values of [`OperatorError::code`](crate::OperatorError::code).
@@ -12,17 +11,17 @@
 pub enum OperatorErrorCode {
     /// The body is not a message of the method.
     MalformedRequest,
-    /// The body is longer than the node takes.
+    /// The body is longer than the node accepts.
     BodyTooLarge,
     /// The body is neither protobuf nor JSON.
     UnsupportedMediaType,
-    /// No token, or not the right one.
+    /// The token is missing or wrong.
     Unauthorized,
     /// The schema has no such method.
     UnknownMethod,
-    /// No such node is known.
+    /// The node is not known.
     UnknownNode,
-    /// No such generation is kept.
+    /// The generation is not stored, or no longer.
     UnknownGeneration,
     /// The document has findings; nothing was stored.
     InvalidConfiguration,
@@ -30,17 +29,17 @@
     GenerationConflict,
     /// Another document was stored under this change id; nothing was stored.
     ChangeIdReused,
-    /// Another node that had to take part could not be reached; repeating is safe.
+    /// Another node that the call needs could not be reached; repeating the call is safe.
     NodeUnreachable,
     /// The platform cannot be reached; nothing was stored.
     PlatformUnavailable,
-    /// The platform's answer was lost, and what became of the write could not be
-    /// read back; repeat with the same change id.
+    /// The platform's response was lost, and the result of the write could not be read back; repeat
+    /// the call with the same change id.
     OutcomeUnknown,
 }
 
 impl OperatorErrorCode {
-    /// HTTP status of an answer with this code.
+    /// Returns the HTTP status of a response with this code.
     pub fn status(self) -> u16 {
         match self {
             OperatorErrorCode::MalformedRequest => 400,
@@ -58,7 +57,7 @@
         }
     }
 
-    /// Whether the same request may succeed a little later.
+    /// Returns whether the same request may succeed later.
     pub fn is_transient(self) -> bool {
         self.status() == 503
     }
--- a/crates/hemlocktack-protocol/src/outcome.rs
+++ b/crates/hemlocktack-protocol/src/outcome.rs
@@ -1,4 +1,4 @@
-//! Outcomes that are not an answer.
+//! Outcomes of calls without an answer.
 
 use std::time::Duration;
 
@@ -12,23 +12,23 @@
 pub struct Refusal {
     /// Why it was refused.
     pub reason: Reason,
-    /// When the caller may come back; `None` where coming back cannot help.
+    /// Time after which the caller may retry; `None` if a retry cannot help.
     pub retry_after: Option<Duration>,
 }
 
 /// A call that ended without an answer.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum CallFailure {
-    /// Proved not to have run.
+    /// The call is proved not to have run.
     #[display("{_0}")]
     NotRun(Refusal),
-    /// An upstream may have run it.
+    /// An upstream may have run the call.
     #[display("unknown: {}", <&'static str>::from(*_0))]
     Unknown(Reason),
 }
 
 impl CallFailure {
-    /// Outcome as it goes into frames and headers.
+    /// Returns the outcome for frames and headers.
     pub fn outcome(&self) -> Outcome {
         match self {
             CallFailure::NotRun(_) => Outcome::NotRun,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Reason as it goes into frames and headers.
+    /// Returns the reason for frames and headers.
     pub fn reason(&self) -> Reason {
         match self {
             CallFailure::NotRun(refusal) => refusal.reason,
--- a/crates/hemlocktack-protocol/src/time.rs
+++ b/crates/hemlocktack-protocol/src/time.rs
@@ -1,8 +1,8 @@
-//! Times as people and other systems write them.
+//! Parsing of durations in settings and messages.
 
 use std::time::Duration;
 
-/// Reads a number with its unit, `ms` or `s`: `1500ms`, `2.5s`.
+/// Parses a number with the unit `ms` or `s`, such as `1500ms` or `2.5s`.
 pub fn parse_duration(text: &str) -> Option<Duration> {
     let (number, unit_s) = match text.strip_suffix("ms") {
         Some(number) => (number, 0.001),
--- a/crates/hemlocktack-protocol/tests/generated.rs
+++ b/crates/hemlocktack-protocol/tests/generated.rs
@@ -1,12 +1,13 @@
-//! Holds the committed generated code and the schema files together.
+//! Checks that the committed generated code matches the schema files.
 
 use std::fs;
 use std::path::Path;
 
 const SCHEMA_FILES: [&str; 3] = ["common.proto", "node.proto", "operators.proto"];
 const GENERATED_FILES: [&str; 2] = ["hemlocktack.v1.rs", "hemlocktack.v1.serde.rs"];
-/// Set to write the generated code anew after a change of the schema.
+/// Set this to regenerate the code after a change of the schema.
 const REGENERATE_VARIABLE: &str = "HEMLOCKTACK_REGENERATE";
+/// Enums that are also written and parsed as kebab-case names.
 const NAMED_ENUMS: [&str; 4] = ["Outcome", "Reason", "NodeState", "UpstreamState"];
 
 fn generate(target: &Path) {
@@ -30,7 +31,7 @@
     for file in descriptors.file {
         json.register_file_descriptor(file);
     }
-    // An older node reads what a newer one stored in the platform.
+    // An older node must be able to read what a newer one has stored in the platform.
     json.ignore_unknown_fields().ignore_unknown_enum_variants();
     json.out_dir(target)
         .build(&[".hemlocktack.v1"])
