--- a/crates/hemlocktack-node/src/gateway/announcements.rs
+++ b/crates/hemlocktack-node/src/gateway/announcements.rs
@@ -1,4 +1,4 @@
-//! What the upstream beside the node says, and whether the node is ready.
+//! Handles announcements of the upstream and readiness probes.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -16,19 +16,18 @@
 use crate::node::Node;
 use crate::upstream::{Announcement, MessageOrigin};
 
-/// Announcements are a few hundred bytes.
+/// Limit of an announcement's body; announcements have a few hundred bytes.
 const BODY_LIMIT_BYTES: usize = 16 << 10;
-/// An upstream on the same machine answers within a millisecond; one that is
-/// full makes the question wait for a slot.
+/// An upstream on the same machine answers within a millisecond, unless all its slots are
+/// taken and the health check has to wait for one.
 const HEALTH_TIMEOUT: Duration = Duration::from_millis(300);
-/// Pause between two questions to an upstream that is not known yet. Waiting
-/// for its own next word would take a second or two in which its node refuses
-/// everybody.
-const FIND_PAUSE: Duration = Duration::from_millis(250);
-/// Slots taken for granted until the upstream says how many it has.
-const SLOTS_UNSAID: u32 = 8;
+/// Interval of health checks while the upstream is unknown. Waiting for its next
+/// announcement instead would take a second or two, in which the node refuses all calls.
+const DISCOVERY_INTERVAL: Duration = Duration::from_millis(250);
+/// Slots assumed until the upstream reports how many it has.
+const DEFAULT_SLOTS: u32 = 8;
 
-/// Answers an announcement or a question for readiness.
+/// Answers an announcement or a readiness probe.
 pub(super) async fn answer(
     node: Arc<Node>,
     interface: Interface,
@@ -40,20 +39,20 @@
     }
     let body = Limited::new(body, BODY_LIMIT_BYTES).collect().await;
     let body = body.map(|body| body.to_bytes()).unwrap_or_default();
-    let word = match (interface.announcements.read)(&head, &body) {
-        Ok(word) => word,
+    let message = match (interface.announcements.read)(&head, &body) {
+        Ok(message) => message,
         Err(fault) => {
             log_event!(Event::AnnouncementMalformed, %fault);
-            return untracked(refuse(fault));
+            return untracked(bad_request(fault));
         }
     };
-    take(&node, interface, word).await;
+    handle_message(&node, interface, message).await;
     untracked((interface.announcements.write_acknowledgement)())
 }
 
-/// Ready means: a configuration is in force and the node is not stopping. That
-/// the platform is away or the upstream silent is no reason to send callers
-/// elsewhere: the other nodes would see the same.
+/// Reports ready while a configuration is active and the node is not stopping. An
+/// unreachable platform or a silent upstream does not make the node unready: other nodes
+/// would be no better off, so redirecting callers would not help.
 fn readiness(node: &Node) -> Response<Bytes> {
     let mut response = Response::new(Bytes::new());
     if node.state() != NodeState::Ready {
@@ -62,15 +61,16 @@
     response
 }
 
-fn refuse(fault: String) -> Response<Bytes> {
+fn bad_request(fault: String) -> Response<Bytes> {
     let mut response = Response::new(Bytes::from(fault));
     *response.status_mut() = StatusCode::BAD_REQUEST;
     response
 }
 
-/// Takes the word of one start of the upstream, if it is the one that listens.
-async fn take(node: &Arc<Node>, interface: Interface, word: UpstreamMessage) {
-    let (upstream_start, started_unix_ms) = match &word {
+/// Applies a message of one start of the upstream, if that start is the current one or
+/// becomes it.
+async fn handle_message(node: &Arc<Node>, interface: Interface, message: UpstreamMessage) {
+    let (upstream_start, started_unix_ms) = match &message {
         UpstreamMessage::Report(report) => (&report.upstream_start, report.started_unix_ms),
         UpstreamMessage::Leaving {
             upstream_start,
@@ -85,36 +85,38 @@
         MessageOrigin::Earlier => return,
         MessageOrigin::Later => node.upstream_starts().set_current(upstream_start),
         MessageOrigin::Other => {
-            if !follow_if_it_listens(node, interface, upstream_start).await {
+            if !set_current_if_listening(node, interface, upstream_start).await {
                 return;
             }
         }
     }
     node.upstream_starts().set_started(started_unix_ms);
-    match word {
-        UpstreamMessage::Report(report) => take_report(node, &report),
-        UpstreamMessage::Leaving { .. } => leave(node),
+    match message {
+        UpstreamMessage::Report(report) => apply_report(node, &report),
+        UpstreamMessage::Leaving { .. } => mark_leaving(node),
     }
 }
 
-async fn follow_if_it_listens(node: &Node, interface: Interface, upstream_start: &str) -> bool {
-    let listens = ask_health(node, interface).await;
-    let listens = listens
+/// Makes this start the current one unless a different start answers the health check;
+/// returns whether it did.
+async fn set_current_if_listening(node: &Node, interface: Interface, upstream_start: &str) -> bool {
+    let listening = check_health(node, interface).await;
+    let listening = listening
         .as_ref()
         .map(|health| health.upstream_start.as_str());
     let mut starts = node.upstream_starts();
-    let follows = starts.may_become_current(upstream_start, listens);
-    if follows {
+    let becomes_current = starts.may_become_current(upstream_start, listening);
+    if becomes_current {
         starts.set_current(upstream_start);
     }
-    follows
+    becomes_current
 }
 
-fn take_report(node: &Node, report: &UpstreamReport) {
+fn apply_report(node: &Node, report: &UpstreamReport) {
     if *report.service != *node.settings.service {
         log_event!(
             Event::AnnouncementMalformed,
-            fault = "it is of another service"
+            fault = "the announcement is for another service"
         );
         return;
     }
@@ -123,7 +125,7 @@
         return;
     }
     if report.state == AnnouncedState::Draining {
-        return leave(node);
+        return mark_leaving(node);
     }
     if node.upstream_starts().has_left() {
         return;
@@ -138,7 +140,7 @@
     );
 }
 
-fn leave(node: &Node) {
+fn mark_leaving(node: &Node) {
     node.upstream_starts().mark_left();
     node.mark_upstream_draining();
 }
@@ -151,7 +153,8 @@
     cold: bool,
 ) {
     node.apply_announcement(Announcement {
-        // Only its own node reaches the upstream, under the address in the settings.
+        // Only this node connects to the upstream, so the address in the settings, if there
+        // is one, takes precedence.
         address: node.settings.upstream_address.unwrap_or(address),
         slots,
         connections: node.connection_limit(),
@@ -162,24 +165,25 @@
     });
 }
 
-/// Asks the upstream who it is until its node knows it.
+/// Sends health checks to the upstream until it is known, so that a restarted node does not
+/// have to wait for the next announcement.
 ///
-/// Failure: all nodes are killed at once and start again; each refuses its
-/// callers until its upstream's next announcement. An upstream that says it is
-/// not well may be leaving, and its word to the start before this one binds.
-pub(super) async fn find_upstream(node: Arc<Node>, interface: Interface) {
+/// Without this, if all nodes are killed at once and restart, each refuses its callers
+/// until its upstream announces itself again. An unhealthy upstream is not used: it may be
+/// leaving, and may have announced that to the previous process of this node.
+pub(super) async fn discover_upstream(node: Arc<Node>, interface: Interface) {
     if node.settings.upstream_address.is_none() {
         return;
     }
     while !node.signals.stopped.is_cancelled() && node.upstream_state() == UpstreamState::Absent {
-        if let Some(health) = ask_health(&node, interface).await {
-            found(&node, &health);
+        if let Some(health) = check_health(&node, interface).await {
+            announce_discovered(&node, &health);
         }
-        tokio::time::sleep(FIND_PAUSE).await;
+        tokio::time::sleep(DISCOVERY_INTERVAL).await;
     }
 }
 
-fn found(node: &Node, health: &Health) {
+fn announce_discovered(node: &Node, health: &Health) {
     {
         let mut starts = node.upstream_starts();
         if !health.is_healthy || starts.has_current() {
@@ -190,11 +194,11 @@
     let Some(address) = node.settings.upstream_address else {
         return;
     };
-    let slots = health.slots.unwrap_or(SLOTS_UNSAID);
+    let slots = health.slots.unwrap_or(DEFAULT_SLOTS);
     announce(node, &health.upstream_start, address, slots, false);
 }
 
-async fn ask_health(node: &Node, interface: Interface) -> Option<Health> {
+async fn check_health(node: &Node, interface: Interface) -> Option<Health> {
     let address = node.settings.upstream_address?;
     let path = node.health_path(interface.upstreams.health_path);
     let deadline = Instant::now() + HEALTH_TIMEOUT;
--- a/crates/hemlocktack-node/src/gateway/classify.rs
+++ b/crates/hemlocktack-node/src/gateway/classify.rs
@@ -1,4 +1,4 @@
-//! What the operators' routes say of a request.
+//! Classifies a request by the configured routes.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -11,19 +11,18 @@
 use crate::calls::{ClassifiedCall, RunningCall, SendRecord, fingerprint};
 use crate::node::Node;
 
-/// Time that a caller is taken to wait where neither it nor its route says.
-const PATIENCE_UNSAID: Duration = Duration::from_secs(30);
+/// Timeout of a request if neither the caller nor its route sets one.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Retries of all calls below a request for each that it may make itself. Each
-/// hop gives half of them away with a call, rounded up. Today's services call
-/// each other three hops deep, and there a request makes four calls one after
-/// the other: where every other one is turned away, it needs five retries or
-/// six, a quarter of these. The share of each edge keeps all of them together
-/// small.
-const CHAIN_RETRIES_A_RETRY: u32 = 24;
+/// Retries that all child calls of a request may make together, per retry of the request
+/// itself. Each hop grants half of its allowance, rounded up, to a child call. Services
+/// currently call each other up to three hops deep, and there a request makes four calls in
+/// sequence. If every second call is refused, that takes five or six retries, a quarter of
+/// this number. The retry budget of each edge keeps the total small.
+const CHAIN_RETRIES_PER_RETRY: u32 = 24;
 
-/// What a request's head and the configuration come to.
-pub(super) struct Routed {
+/// A request with its route and the service picked for it.
+pub(super) struct RoutedRequest {
     pub(super) route: String,
     pub(super) service: String,
     pub(super) body_limit_bytes: usize,
@@ -35,40 +34,40 @@
     attempts: u32,
     generation: Generation,
     parent: Option<Arc<RunningCall>>,
-    /// An upstream made it for a request, known here or not.
-    pub(super) is_deeper: bool,
+    /// Whether an upstream made the request for a parent call, which may be unknown here.
+    pub(super) is_child_call: bool,
 }
 
-/// Finds the route of a request and draws the service that gets it.
+/// Finds the route of a request and picks one of the route's services.
 pub(super) fn find_route(
     node: &Node,
-    entered: &IncomingRequest,
+    request: &IncomingRequest,
     path: &str,
     now: Instant,
-) -> Result<Routed, Reason> {
-    let Some(in_force) = node.active_configuration() else {
+) -> Result<RoutedRequest, Reason> {
+    let Some(active) = node.active_configuration() else {
         return Err(Reason::Starting);
     };
-    let document = &in_force.document;
+    let document = &active.document;
     let route = document
-        .route(&entered.host, path)
+        .route(&request.host, path)
         .ok_or(Reason::UnknownService)?;
     let target = route
         .pick_target(rand::random())
         .ok_or(Reason::UnknownService)?;
-    let parent_id = entered.parent_request_id.as_deref();
-    let waited = match (parent_id, entered.time_left) {
+    let parent_id = request.parent_request_id.as_deref();
+    let waited = match (parent_id, request.time_left) {
         (None, Some(time_left)) => node
             .services
             .estimate_time_waited(route_id(route), time_left),
         _ => Duration::ZERO,
     };
     let parent = parent_id.and_then(|parent| node.contexts.find_by_request(parent));
-    Ok(Routed {
+    Ok(RoutedRequest {
         route: route.name.clone(),
         service: target.service.clone(),
         body_limit_bytes: document.client_limits.body_limit_bytes,
-        deadline: now + patience(entered, route),
+        deadline: now + timeout(request, route),
         objective: match parent_id {
             Some(_) => parent.as_ref().and_then(|parent| parent.objective),
             None => route
@@ -79,9 +78,9 @@
         idempotent: route.idempotent,
         class_rank: class_rank(document, route),
         attempts: route.attempts,
-        generation: in_force.generation,
+        generation: active.generation,
         parent,
-        is_deeper: parent_id.is_some(),
+        is_child_call: parent_id.is_some(),
     })
 }
 
@@ -89,22 +88,23 @@
     stable_hash(&[route.name.as_bytes()])
 }
 
-/// What is left of the objective of a caller that has waited before; one that
-/// has none left may still be answered while nobody waits.
+/// Returns the rest of the latency objective for a caller that has already waited. It is
+/// never zero: a request whose objective has passed may still be answered while no other
+/// request waits.
 fn objective_left(target_ms: u64, waited: Duration) -> Duration {
-    const LEAST: Duration = Duration::from_millis(1);
-    let whole = Duration::from_millis(target_ms);
-    whole.saturating_sub(waited).max(LEAST)
+    const MIN_OBJECTIVE: Duration = Duration::from_millis(1);
+    let target = Duration::from_millis(target_ms);
+    target.saturating_sub(waited).max(MIN_OBJECTIVE)
 }
 
-/// The caller's patience and the operators' limit, whichever is shorter.
-fn patience(entered: &IncomingRequest, route: &Route) -> Duration {
-    let timeout = route.timeout_ms.map(Duration::from_millis);
-    let both = entered.time_left.into_iter().chain(timeout);
-    both.min().unwrap_or(PATIENCE_UNSAID)
+/// Returns the shorter of the caller's remaining time and the route's timeout.
+fn timeout(request: &IncomingRequest, route: &Route) -> Duration {
+    let route_timeout = route.timeout_ms.map(Duration::from_millis);
+    let timeouts = request.time_left.into_iter().chain(route_timeout);
+    timeouts.min().unwrap_or(DEFAULT_TIMEOUT)
 }
 
-/// Routes without a rank come after all that have one.
+/// Returns the rank of a route's class. Routes without a priority get the lowest class.
 fn class_rank(document: &Document, route: &Route) -> ClassRank {
     let last = document.classes.len().saturating_sub(1);
     let rank = route
@@ -113,27 +113,29 @@
     ClassRank::try_from(rank.min(last)).unwrap_or(ClassRank::MAX)
 }
 
-/// Work that is told of a deeper call whose parent is not known here, because
-/// this node has started since: more than none, as the hops above have worked.
-const WORK_UNKNOWN_US: u64 = 1;
+/// Work reported for a child call whose parent is unknown because this node restarted in
+/// between. It is not zero, because the calls above it have already done some work.
+const UNKNOWN_WORK_US: u64 = 1;
 
-/// Each retry of its own may reach one more upstream.
-fn allowance_of_root(attempts: u32) -> RetryAllowance {
+/// Returns the retry allowance of a root request, which may reach one more upstream with
+/// each retry of its own.
+fn root_allowance(attempts: u32) -> RetryAllowance {
     let retries = attempts.saturating_sub(1);
-    RetryAllowance::with_entry_share(retries, retries * CHAIN_RETRIES_A_RETRY)
+    RetryAllowance::with_entry_share(retries, retries * CHAIN_RETRIES_PER_RETRY)
 }
 
-/// Failure: a node starts again while its upstream works on. Symptom: each deeper
-/// call is granted what a root is, and one request is repeated beyond its allowance
-/// over its chain. Its caller's connection went with the node, so no answer is lost
-/// to anybody if its calls are sent once.
-fn allowance_of_orphan() -> RetryAllowance {
+/// Returns the retry allowance of a child call whose parent is unknown: none.
+///
+/// If a node restarts while its upstream keeps working, granting each child call the
+/// allowance of a root would retry one request beyond its allowance. The caller's
+/// connection was lost with the node, so sending these calls only once loses no answer.
+fn orphan_allowance() -> RetryAllowance {
     RetryAllowance::new(0)
 }
 
-impl Routed {
-    /// The call that goes through the fleet. A deeper call is of its root's
-    /// class, and draws on the root's retries.
+impl RoutedRequest {
+    /// Builds the call that is placed in the fleet. A child call inherits the class of its
+    /// root request and uses its retry allowance.
     pub(super) fn classify(self, node: &Node, call: Call, now: Instant) -> ClassifiedCall {
         let kind = stable_hash(&[self.service.as_bytes(), self.route.as_bytes()]);
         node.services.register_work_kind(kind, &self.service);
@@ -142,11 +144,15 @@
         let class_rank = parent
             .as_ref()
             .map_or(self.class_rank, |parent| parent.class_rank);
-        let work_unknown_us = if self.is_deeper { WORK_UNKNOWN_US } else { 0 };
+        let work_without_parent_us = if self.is_child_call {
+            UNKNOWN_WORK_US
+        } else {
+            0
+        };
         let allowance = match &parent {
             Some(parent) => parent.allowance.clone(),
-            None if self.is_deeper => Arc::new(allowance_of_orphan()),
-            None => Arc::new(allowance_of_root(self.attempts)),
+            None if self.is_child_call => Arc::new(orphan_allowance()),
+            None => Arc::new(root_allowance(self.attempts)),
         };
         ClassifiedCall {
             call: Call {
@@ -158,8 +164,8 @@
                 root_request_id: parent
                     .as_ref()
                     .map_or_else(rand::random, |parent| parent.root_request_id),
-                work_spent_us: parent.as_ref().map_or(work_unknown_us, |parent| {
-                    parent.work_spent_us(now).max(WORK_UNKNOWN_US)
+                work_spent_us: parent.as_ref().map_or(work_without_parent_us, |parent| {
+                    parent.work_spent_us(now).max(UNKNOWN_WORK_US)
                 }),
                 work_kind: kind,
                 has_returned: self.has_returned,
--- a/crates/hemlocktack-node/src/gateway/mod.rs
+++ b/crates/hemlocktack-node/src/gateway/mod.rs
@@ -10,7 +10,7 @@
 mod classify;
 mod connection;
 mod headers;
-mod lines;
+mod request_log;
 mod requests;
 mod server;
 mod start;
--- a/crates/hemlocktack-node/src/gateway/lines.rs
+++ b/crates/hemlocktack-node/src/gateway/request_log.rs
@@ -1,4 +1,4 @@
-//! Log lines about requests that ended otherwise than wanted.
+//! Log lines about requests that were refused, late or left without an answer.
 
 use std::time::Instant;
 
@@ -9,31 +9,32 @@
 use crate::calls::{ClassifiedCall, PendingSend};
 use crate::node::Node;
 
-/// A request that was read. Dropped before its answer is given to the HTTP library,
-/// it leaves a line: its caller has gone, or its connection or the process ends.
-pub(super) struct ReadRequest<'a> {
+/// Guard of a request that was read. If it is dropped before the response is handed to
+/// hyper, it logs the request: the caller has disconnected, or the connection or the process
+/// is ending.
+pub(super) struct UnansweredGuard<'a> {
     node: &'a Node,
     request_id: &'a str,
-    read: Instant,
+    read_at: Instant,
     is_answered: bool,
 }
 
-impl<'a> ReadRequest<'a> {
+impl<'a> UnansweredGuard<'a> {
     pub(super) fn new(node: &'a Node, request_id: &'a str) -> Self {
         Self {
             node,
             request_id,
-            read: Instant::now(),
+            read_at: Instant::now(),
             is_answered: false,
         }
     }
 
-    pub(super) fn answered(mut self) {
+    pub(super) fn mark_answered(mut self) {
         self.is_answered = true;
     }
 }
 
-impl Drop for ReadRequest<'_> {
+impl Drop for UnansweredGuard<'_> {
     fn drop(&mut self) {
         if self.is_answered {
             return;
@@ -44,23 +45,23 @@
         log_event!(
             Event::RequestUnanswered,
             request_id = self.request_id,
-            elapsed_ms = self.read.elapsed().as_millis() as u64,
+            elapsed_ms = self.read_at.elapsed().as_millis() as u64,
             is_stopping = self.node.is_stopping(),
             left_out
         );
     }
 }
 
-pub(super) fn log_refused(node: &Node, entered: &IncomingRequest, answer: &Answer) {
+pub(super) fn log_refused(node: &Node, request: &IncomingRequest, answer: &Answer) {
     let Some(left_out) = node.call_log_limiter.try_acquire() else {
         return;
     };
     let outcome: &'static str = answer.outcome().into();
     let reason: &'static str = answer.reason().into();
-    let patience_ms = entered.time_left.unwrap_or_default().as_millis() as u64;
+    let patience_ms = request.time_left.unwrap_or_default().as_millis() as u64;
     log_event!(
         Event::RequestRefused,
-        request_id = entered.request_id,
+        request_id = request.request_id,
         outcome,
         reason,
         patience_ms,
@@ -79,8 +80,8 @@
     let is_late = classified
         .objective
         .is_some_and(|objective| Instant::now() > objective);
-    let is_deeper = classified.parent.is_some();
-    if !is_late || is_deeper || answer.outcome() != Outcome::Answered {
+    let is_child_call = classified.parent.is_some();
+    if !is_late || is_child_call || answer.outcome() != Outcome::Answered {
         return;
     }
     let Some(left_out) = node.call_log_limiter.try_acquire() else {
@@ -98,12 +99,12 @@
     );
 }
 
-/// A request that still waited at the limit of the drain, for its own body where
-/// it was sent nowhere.
+/// Logs a request that was still unfinished at the drain limit. Without a pending send it
+/// was still waiting for the caller's body.
 pub(super) fn log_ended_by_limit(
     node: &Node,
-    entered: &IncomingRequest,
-    waiting: Option<PendingSend>,
+    request: &IncomingRequest,
+    pending: Option<PendingSend>,
     outcome: Outcome,
     began: Instant,
 ) {
@@ -111,17 +112,17 @@
         return;
     };
     let outcome: &'static str = outcome.into();
-    let receiver = waiting.as_ref().map(|send| &send.receiver);
+    let receiver = pending.as_ref().map(|send| &send.receiver);
     let link_address = receiver.and_then(|receiver| node.link_address_of(receiver));
     log_event!(
         Event::RequestEndedByLimit,
-        request_id = entered.request_id,
+        request_id = request.request_id,
         outcome,
         elapsed_ms = began.elapsed().as_millis() as u64,
         sent_to = receiver.map(|receiver| &*receiver.node_id),
         incarnation = receiver.map(|receiver| receiver.incarnation),
         link_address,
-        since_sent_ms = waiting
+        since_sent_ms = pending
             .as_ref()
             .map(|send| send.elapsed().as_millis() as u64),
         left_out
--- a/crates/hemlocktack-node/src/gateway/requests.rs
+++ b/crates/hemlocktack-node/src/gateway/requests.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, from its head to its answer.
+//! Handles one request of a caller, from its head to its response.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -11,8 +11,8 @@
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
 
-use super::classify::{Routed, find_route};
-use super::lines::{ReadRequest, log_ended_by_limit, log_late, log_refused};
+use super::classify::{RoutedRequest, find_route};
+use super::request_log::{UnansweredGuard, log_ended_by_limit, log_late, log_refused};
 use super::tracked_body::TrackedBody;
 use super::unread_body::refuse_and_discard;
 use super::{forwarded_headers, server};
@@ -21,7 +21,7 @@
 use crate::node::Node;
 use crate::telemetry::request_line;
 
-/// Answers a request as soon as its end is known.
+/// Answers a request as soon as its outcome is known.
 pub(super) async fn answer(
     node: Arc<Node>,
     interface: Interface,
@@ -29,23 +29,23 @@
 ) -> Response<TrackedBody> {
     let in_flight = node.track_call();
     let (head, mut body) = request.into_parts();
-    let entered = match (interface.callers.read)(&head) {
-        Ok(entered) => entered,
+    let incoming = match (interface.callers.read)(&head) {
+        Ok(incoming) => incoming,
         Err(reason) => {
-            let unread = IncomingRequest::default();
+            let unparsed = IncomingRequest::default();
             let answer = not_run_answer(reason, None);
-            log_refused(&node, &unread, &answer);
-            let refusal = refuse(interface, unread.request_id, answer);
+            log_refused(&node, &unparsed, &answer);
+            let refusal = refuse(interface, unparsed.request_id, answer);
             return refuse_and_discard(refusal, &head, body);
         }
     };
-    let read = ReadRequest::new(&node, &entered.request_id);
-    let running = run(&node, interface, &head, &entered, &mut body);
-    let answer = calls::catch_panic(&entered.request_id, running).await;
-    read.answered();
+    let guard = UnansweredGuard::new(&node, &incoming.request_id);
+    let running = run(&node, interface, &head, &incoming, &mut body);
+    let answer = calls::catch_panic(&incoming.request_id, running).await;
+    guard.mark_answered();
     if answer.outcome() != Outcome::Answered {
-        log_refused(&node, &entered, &answer);
-        let refusal = refuse(interface, entered.request_id, answer);
+        log_refused(&node, &incoming, &answer);
+        let refusal = refuse(interface, incoming.request_id, answer);
         return refuse_and_discard(refusal, &head, body);
     }
     respond(answer, in_flight)
@@ -55,7 +55,7 @@
     node: &Arc<Node>,
     interface: Interface,
     head: &request::Parts,
-    entered: &IncomingRequest,
+    incoming: &IncomingRequest,
     body: &mut Incoming,
 ) -> Answer {
     let path = head.uri.path();
@@ -63,23 +63,23 @@
         .tracer
         .start(node.tracer.context_of(None), SpanName::Entry);
     let began = Instant::now();
-    let routed = match find_route(node, entered, path, began) {
+    let routed = match find_route(node, incoming, path, began) {
         Ok(routed) => routed,
         Err(reason) => return not_run_answer(reason, None),
     };
-    if !routed.is_deeper && node.refuses_entries() {
+    if !routed.is_child_call && node.refuses_entries() {
         return not_run_answer(Reason::Draining, None);
     }
     let service = routed.service.clone();
-    let body = match take_body(node, entered, body, &routed, began).await {
+    let body = match receive_body(node, incoming, body, &routed, began).await {
         Ok(body) => body,
         Err(reason) => return not_run_answer(reason, None),
     };
     let call = Call {
-        request_id: entered.request_id.clone(),
+        request_id: incoming.request_id.clone(),
         method: head.method.as_str().to_owned(),
-        path: target(head),
-        headers: headers(node, interface, head),
+        path: request_target(head),
+        headers: call_headers(node, interface, head),
         body,
         traceparent: span.context().header(),
         ..Call::default()
@@ -89,7 +89,7 @@
     if let Some(parent) = &classified.parent {
         parent.child_call_began();
     }
-    let answer = place(node, entered, &classified, began).await;
+    let answer = place(node, incoming, &classified, began).await;
     if let Some(parent) = &classified.parent {
         parent.child_call_ended(classified.kind, started.elapsed(), &answer);
     }
@@ -103,19 +103,19 @@
     answer
 }
 
-/// The whole body, if the request may be passed on when that has come.
-async fn take_body(
+/// Reads the whole body, if the request may still be forwarded when the body is complete.
+async fn receive_body(
     node: &Node,
-    entered: &IncomingRequest,
+    incoming: &IncomingRequest,
     body: &mut Incoming,
-    routed: &Routed,
+    routed: &RoutedRequest,
     began: Instant,
 ) -> Result<Bytes, Reason> {
     let body = tokio::select! {
         biased;
         body = read_body(body, routed) => body?,
         () = node.signals.drain_limit_reached.cancelled() => {
-            log_ended_by_limit(node, entered, None, Outcome::NotRun, began);
+            log_ended_by_limit(node, incoming, None, Outcome::NotRun, began);
             return Err(Reason::Draining);
         }
     };
@@ -125,10 +125,10 @@
     }
 }
 
-/// The end of a call, or what is known of it at the drain's limit.
+/// Places a call and returns its answer, or the outcome known at the drain limit.
 async fn place(
     node: &Arc<Node>,
-    entered: &IncomingRequest,
+    incoming: &IncomingRequest,
     classified: &ClassifiedCall,
     began: Instant,
 ) -> Answer {
@@ -137,15 +137,15 @@
         answer = calls::run_with_retries(node, classified) => answer,
         () = node.signals.drain_limit_reached.cancelled() => {
             let answer = classified.sends.early_answer(Reason::Draining);
-            let waiting = classified.sends.pending();
-            log_ended_by_limit(node, entered, waiting, answer.outcome(), began);
+            let pending = classified.sends.pending();
+            log_ended_by_limit(node, incoming, pending, answer.outcome(), began);
             answer
         }
     }
 }
 
-/// The whole body, while its caller would still wait for an answer.
-async fn read_body(body: &mut Incoming, routed: &Routed) -> Result<Bytes, Reason> {
+/// Reads the whole body, at most until the deadline of the request.
+async fn read_body(body: &mut Incoming, routed: &RoutedRequest) -> Result<Bytes, Reason> {
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
@@ -159,35 +159,37 @@
     }
 }
 
-/// Path and query as they were sent, also of a target in absolute form.
-fn target(head: &request::Parts) -> String {
+/// Returns path and query as they were sent, also for a request target in absolute form.
+fn request_target(head: &request::Parts) -> String {
     let target = head.uri.path_and_query();
     target.map_or_else(|| "/".to_owned(), |target| target.as_str().to_owned())
 }
 
-/// What goes on, with the system's own word on where the request began.
-fn headers(node: &Node, interface: Interface, head: &request::Parts) -> Vec<Header> {
+/// Returns the forwarded headers, together with the system's own headers about the origin
+/// of the request.
+fn call_headers(node: &Node, interface: Interface, head: &request::Parts) -> Vec<Header> {
     let origin = (interface.callers.origin_headers)(&node.settings.service);
-    let own: Vec<&str> = origin.iter().map(|header| header.name.as_str()).collect();
-    let mut headers = forwarded_headers(&head.headers, &own);
+    let origin_names: Vec<&str> = origin.iter().map(|header| header.name.as_str()).collect();
+    let mut headers = forwarded_headers(&head.headers, &origin_names);
     headers.extend(origin);
     headers
 }
 
 fn refuse(interface: Interface, request_id: String, answer: Answer) -> Response<TrackedBody> {
-    let refused = ErrorResponse {
+    let error = ErrorResponse {
         request_id,
         outcome: answer.outcome(),
         reason: answer.reason(),
-        retry_after: retry_after(&answer).map(shortest),
+        retry_after: retry_after(&answer).map(clamp_retry_delay),
     };
-    server::untracked((interface.callers.write_error)(&refused))
+    server::untracked((interface.callers.write_error)(&error))
 }
 
-/// Below this a caller would come back before anything can have changed.
-fn shortest(wait: Duration) -> Duration {
-    const LEAST: Duration = Duration::from_millis(20);
-    wait.max(LEAST)
+/// Returns the delay after which a caller should retry, but at least 20 ms: before that the
+/// load cannot have changed.
+fn clamp_retry_delay(delay: Duration) -> Duration {
+    const MIN_DELAY: Duration = Duration::from_millis(20);
+    delay.max(MIN_DELAY)
 }
 
 fn respond(answer: Answer, in_flight: InFlightGuard) -> Response<TrackedBody> {
--- a/crates/hemlocktack-node/src/gateway/start.rs
+++ b/crates/hemlocktack-node/src/gateway/start.rs
@@ -20,7 +20,7 @@
         let handle = move |node, request| announcements::answer(node, interface, request);
         tokio::spawn(server::serve(node.clone(), listener, handle));
     }
-    tokio::spawn(announcements::find_upstream(node.clone(), interface));
+    tokio::spawn(announcements::discover_upstream(node.clone(), interface));
     Ok(())
 }
 
