--- a/crates/hemlocktack-node/src/telemetry/metrics.rs
+++ b/crates/hemlocktack-node/src/telemetry/metrics.rs
@@ -86,15 +86,15 @@
         };
         ends.get_or_create(&labels).inc_by(entry.count);
     }
-    let help = "Calls that entered here and ended, by service, outcome and reason";
+    let help = "Finished calls that entered at this node, by service, outcome and reason";
     registry.register("entry_calls", help, ends);
     let help = "Calls that reached the upstream side of this node";
     counter(registry, "demand_calls", help, status.demand_count);
     let help = "Calls that got a slot of the upstream";
     counter(registry, "admitted_calls", help, status.admitted_count);
-    let help = "Sends beyond the first one of calls that entered here";
+    let help = "Retries of calls that entered at this node";
     counter(registry, "retries", help, status.retried_count);
-    let help = "Sends that ended without an answer, by what followed";
+    let help = "Sends that ended without an answer, by the step that followed";
     let ended_sends = Family::<NextStepLabels, Counter>::default();
     for next in NextStep::iter() {
         let labels = NextStepLabels { next: next.into() };
@@ -119,40 +119,40 @@
 
 fn register_load(registry: &mut Registry, node: &Node, status: &NodeStatus) {
     let load = status.load.unwrap_or_default();
-    let help = "Calls in flight on this node, on either side, until their answers have left";
+    let help = "Calls in flight on this node, on the caller or upstream side, until their answers are sent";
     gauge(registry, "in_flight_calls", help, node.counters.in_flight());
     let help = "Calls that the upstream is running";
     gauge(registry, "upstream_in_flight_calls", help, load.in_flight);
-    let help = "Calls that the upstream may run at once, as measured";
+    let help = "Measured limit of calls that the upstream runs concurrently";
     gauge(registry, "upstream_limit_calls", help, load.limit);
-    let help = "Calls that wait for a slot of the upstream";
+    let help = "Calls waiting for a slot of the upstream";
     gauge(registry, "queued_calls", help, load.queued);
     let delay = load.queue_delay_us as f64 / MICROS_PER_SECOND;
-    let help = "Estimated wait of a call that would be queued now";
+    let help = "Estimated queue wait of a call that arrives now";
     seconds(registry, "queue_delay", help, delay);
     let service_time = load.service_time_us as f64 / MICROS_PER_SECOND;
-    let help = "Estimated time of the upstream for one call";
+    let help = "Estimated time the upstream takes for one call";
     seconds(registry, "service_time", help, service_time);
     let shed = ShedLevel::unpack(load.shed_level).classes_shed(node.class_count());
-    let help = "Classes that are shed, from the last one; 1.5 is one whole and half of the next";
+    let help = "Classes being shed, starting with the lowest; 1.5 means one class and half of the next";
     float(registry, "shed_classes", help, shed);
     let quarantined = status.quarantined_fingerprints.len() as u64;
-    let help = "Requests that are refused because upstreams crashed while running them";
+    let help = "Requests refused because upstreams crashed while running them";
     gauge(registry, "quarantined_requests", help, quarantined);
 }
 
 fn register_fleet(registry: &mut Registry, node: &Node, status: &NodeStatus) {
-    let help = "Generation in force on this node, 0 for none";
+    let help = "Generation of the active configuration on this node, 0 for none";
     gauge(
         registry,
         "configuration_generation",
         help,
         status.generation_in_force,
     );
-    let help = "1 if the platform answered the last call";
+    let help = "1 if the platform answered the last request";
     let reachable = u64::from(status.platform_reachable);
     gauge(registry, "platform_reachable", help, reachable);
-    let help = "1 if this node takes calls";
+    let help = "1 if this node accepts calls";
     let ready = u64::from(status.state() == NodeState::Ready);
     gauge(registry, "node_ready", help, ready);
     let members = Family::<StateLabels, Gauge>::default();
@@ -160,7 +160,7 @@
         let state = member.state().into();
         members.get_or_create(&StateLabels { state }).inc();
     }
-    let help = "Nodes that this node knows, by state";
+    let help = "Nodes known to this node, by state";
     registry.register("members", help, members);
 }
 
@@ -174,27 +174,27 @@
         let counted = node.gossip_counts.bytes(direction, kind);
         bytes.get_or_create(&labels).inc_by(counted);
     }
-    let help = "Bytes of gossip with IP and UDP headers, by direction and kind";
+    let help = "Bytes of gossip including IP and UDP headers, by direction and kind";
     registry.register("gossip_bytes", help, bytes);
-    let help = "Datagrams that were dropped because their MAC was wrong or they could not be read";
+    let help = "Datagrams dropped because their MAC was wrong or they could not be decoded";
     let refused = node.datagram_refusals.total();
     counter(registry, "refused_datagrams", help, refused);
 }
 
 fn register_tickets(registry: &mut Registry, node: &Node) {
     let table = node.home.table();
-    let help = "Tickets that this node is home of and keeps a record of";
+    let help = "Records of the tickets that this node is home of";
     gauge(
         registry,
         "ticket_records",
         help,
         table.record_count() as u64,
     );
-    let help = "Tickets that this node is home of and whose request runs";
+    let help = "Tickets that this node is home of and whose request is running";
     let in_flight = table.in_flight_count() as u64;
     gauge(registry, "tickets_in_flight", help, in_flight);
     let kept = table.kept_answer_bytes() as u64;
-    let help = "Memory of answers kept for requests that ran at most once";
+    let help = "Memory used by answers kept for at-most-once requests";
     let value = Gauge::<i64>::default();
     value.set(as_signed(kept));
     registry.register_with_unit("kept_answers", help, Unit::Bytes, value);
@@ -204,22 +204,22 @@
     let waits = [
         (
             "entry_duration",
-            "From a caller's request until its answer leaves",
+            "Time from a caller's request until its answer is sent",
             &node.waits.entry,
         ),
         (
             "link_wait",
-            "Wait for another node's reply",
+            "Time waiting for another node's reply",
             &node.waits.link,
         ),
         (
             "queue_wait",
-            "Wait for a slot of the upstream",
+            "Time waiting for a slot of the upstream",
             &node.waits.queue,
         ),
         (
             "upstream_wait",
-            "Wait for the upstream's answer",
+            "Time waiting for the upstream's answer",
             &node.waits.upstream,
         ),
     ];
@@ -229,13 +229,13 @@
 }
 
 fn register_telemetry(registry: &mut Registry, node: &Node) {
-    let help = "Operators' calls refused for their token";
+    let help = "Operators' requests refused because of their token";
     let refused = node.operator_refusals.total();
     counter(registry, "operator_refusals", help, refused);
-    let help = "Links refused because the other end did not prove the fleet key";
+    let help = "Links refused because the peer did not prove that it has the fleet key";
     let refused = node.link_refusals.total();
     counter(registry, "link_refusals", help, refused);
-    let help = "Sampled spans that the collector did not get";
+    let help = "Sampled spans that could not be delivered to the collector";
     let lost = node.tracer.lost_span_count();
     counter(registry, "lost_spans", help, lost);
 }
