--- a/crates/hemlocktack-node/src/configuration/follow.rs
+++ b/crates/hemlocktack-node/src/configuration/follow.rs
@@ -1,5 +1,5 @@
-//! The one task that owns the configuration in force: it asks the platform and
-//! peers, and brings what is newer into force.
+//! The task that owns the active configuration. It queries the platform and peers, and
+//! activates newer generations.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -23,20 +23,20 @@
 
 const TICK_PERIOD: Duration = Duration::from_millis(100);
 const WATCH_WAIT: Duration = Duration::from_secs(20);
-/// Pauses after failed calls: the two watchers of a data centre and starting
-/// nodes are all that call, so that a short limit costs the platform little, and
-/// a change is in force soon after an outage.
+/// Backoff after failed requests. Only the two watchers of a data centre and starting nodes
+/// send them, so a short limit costs the platform little, and a change becomes active soon
+/// after an outage.
 const BACKOFF_BASE: Duration = Duration::from_millis(200);
 const BACKOFF_LIMIT: Duration = Duration::from_secs(1);
 
-/// What the task is told by other parts of the node and by its own questions.
+/// Events for the task, from other parts of the node and from its own requests.
 pub(crate) enum Event {
-    /// A peer says that it has this generation in force.
+    /// A peer reports its active generation.
     PeerGeneration {
         node_id: String,
         generation: Generation,
     },
-    /// An operator's command on this node was stored.
+    /// An operator's change was stored through this node.
     StoredLocally(ConfigurationDocument),
     PlatformAnswered(ConfigurationSnapshot),
     RevisionGone,
@@ -50,7 +50,7 @@
     },
 }
 
-/// Starts to follow; the node is ready once its configuration has caught up.
+/// Starts the task; the node becomes ready once its configuration has caught up.
 pub(crate) fn start(node: &Arc<Node>) -> Result<()> {
     let Some(events) = node.take_configuration_events() else {
         return Ok(());
@@ -64,9 +64,9 @@
     let follower = Follower {
         watchers: settings.watchers_per_data_centre,
         pull_timeout: settings.pull_timeout,
-        in_force: ConfigurationState::new(settings, Instant::now()),
+        state: ConfigurationState::new(settings, Instant::now()),
         store: Arc::new(ConfigurationStore::new(node.platform.clone())),
-        unreadable: String::new(),
+        parse_error: String::new(),
         revision: 0,
         rng: StdRng::seed_from_u64(rand::random()),
         node: node.clone(),
@@ -78,12 +78,12 @@
 struct Follower {
     node: Arc<Node>,
     store: Arc<ConfigurationStore>,
-    in_force: ConfigurationState,
+    state: ConfigurationState,
     watchers: usize,
     pull_timeout: Duration,
-    /// What is wrong with the last document that could not be read.
-    unreadable: String,
-    /// To watch from, as the platform's last answer told.
+    /// Error of the last document that could not be parsed.
+    parse_error: String,
+    /// Revision from which to watch, as of the platform's last answer.
     revision: Revision,
     rng: StdRng,
 }
@@ -97,9 +97,9 @@
             tokio::select! {
                 Some(event) = events.recv() => self.handle(event),
                 _ = ticks.tick() => {
-                    let view = self.view();
-                    let actions = self.in_force.tick(Instant::now(), &view, &mut self.rng);
-                    self.act(actions);
+                    let view = self.peer_view();
+                    let actions = self.state.tick(Instant::now(), &view, &mut self.rng);
+                    self.perform(actions);
                 }
                 () = node.signals.stopped.cancelled() => return,
             }
@@ -113,83 +113,83 @@
                 node_id,
                 generation,
             } => {
-                self.in_force.peer_announced(&node_id, generation);
-                self.in_force.tick(now, &self.view(), &mut self.rng)
+                self.state.peer_announced(&node_id, generation);
+                self.state.tick(now, &self.peer_view(), &mut self.rng)
             }
-            Event::StoredLocally(document) => self.in_force.stored_locally(document),
+            Event::StoredLocally(document) => self.state.stored_locally(document),
             Event::PlatformAnswered(seen) => self.platform_answered(now, seen),
             Event::RevisionGone => {
-                self.in_force.revision_gone(now);
-                self.in_force.tick(now, &self.view(), &mut self.rng)
+                self.state.revision_gone(now);
+                self.state.tick(now, &self.peer_view(), &mut self.rng)
             }
             Event::PlatformFailed => {
-                self.in_force.platform_failed(now, &mut self.rng);
+                self.state.platform_failed(now, &mut self.rng);
                 Vec::new()
             }
             Event::PeerAnswered { node_id, document } => {
                 let generation = document.generation;
-                self.note_fault(&document);
+                self.record_parse_error(&document);
                 let document = (!document.document.is_empty()).then_some(document);
-                self.in_force
+                self.state
                     .peer_answered(now, &node_id, generation, document)
             }
             Event::PeerFailed { node_id } => {
-                self.in_force.peer_failed(now, &node_id, &mut self.rng);
+                self.state.peer_failed(now, &node_id, &mut self.rng);
                 Vec::new()
             }
         };
-        self.act(actions);
+        self.perform(actions);
     }
 
     fn platform_answered(
         &mut self,
         now: Instant,
-        seen: ConfigurationSnapshot,
+        snapshot: ConfigurationSnapshot,
     ) -> Vec<ConfigurationAction> {
-        // A store that lost its newest writes tells a lower one, which is then right.
-        self.revision = seen.revision;
-        let document = seen.stored.map(|stored| stored.configuration);
+        // May be lower than before if the store lost its newest writes; it is correct then, too.
+        self.revision = snapshot.revision;
+        let document = snapshot.stored.map(|stored| stored.configuration);
         if let Some(document) = &document {
-            self.note_fault(document);
+            self.record_parse_error(document);
         }
-        let view = self.view();
-        self.in_force
+        let view = self.peer_view();
+        self.state
             .platform_answered(now, document, &view, &mut self.rng)
     }
 
-    /// Keeps what is wrong with a document, for the line that reports it.
-    fn note_fault(&mut self, document: &ConfigurationDocument) {
+    /// Remembers the error of a document that cannot be parsed, for the log line about it.
+    fn record_parse_error(&mut self, document: &ConfigurationDocument) {
         if document.document.is_empty() {
             return;
         }
         if let Err(fault) = self.node.read_configuration(&document.document) {
-            self.unreadable = fault;
+            self.parse_error = fault;
         }
     }
 
-    fn act(&mut self, actions: Vec<ConfigurationAction>) {
+    fn perform(&mut self, actions: Vec<ConfigurationAction>) {
         for action in actions {
             match action {
-                ConfigurationAction::ReadPlatform { wait, .. } => self.ask_platform(wait),
+                ConfigurationAction::ReadPlatform { wait, .. } => self.read_platform(wait),
                 ConfigurationAction::Pull { node_id, above } => self.pull(node_id, above),
                 ConfigurationAction::Install { document } => {
                     self.node.install_configuration(document);
                     self.node.signals.own_record_changed.notify_one();
                 }
                 ConfigurationAction::ReportUnreadable { generation } => {
-                    let fault = std::mem::take(&mut self.unreadable);
+                    let fault = std::mem::take(&mut self.parse_error);
                     log_event!(LogEvent::ConfigurationUnreadable, generation, fault);
                 }
                 ConfigurationAction::CaughtUp => {
                     log_event!(LogEvent::NodeReady);
                     self.node
-                        .update_lifecycle(|life, _| life.configuration_caught_up());
+                        .update_lifecycle(|lifecycle, _| lifecycle.configuration_caught_up());
                 }
             }
         }
     }
 
-    fn ask_platform(&self, wait: bool) {
+    fn read_platform(&self, wait: bool) {
         let (node, store, revision) = (self.node.clone(), self.store.clone(), self.revision);
         tokio::spawn(async move {
             let answer = match wait {
@@ -214,7 +214,7 @@
     fn pull(&self, node_id: String, above: Generation) {
         let (node, deadline) = (self.node.clone(), Instant::now() + self.pull_timeout);
         tokio::spawn(async move {
-            let event = match ask_peer(&node, &node_id, above, deadline).await {
+            let event = match pull_from_peer(&node, &node_id, above, deadline).await {
                 Some(document) => Event::PeerAnswered { node_id, document },
                 None => Event::PeerFailed { node_id },
             };
@@ -222,30 +222,30 @@
         });
     }
 
-    fn view(&self) -> PeerView {
+    fn peer_view(&self) -> PeerView {
         let members = self.node.members();
         let own_id = &*self.node.identity.node_id;
         let others = || members.iter().filter(|member| member.node_id != own_id);
         let is_ready = |member: &&Member| member.state() == NodeState::Ready;
-        let is_near = |member: &&Member| *member.data_centre == *self.node.settings.data_centre;
+        let is_local = |member: &&Member| *member.data_centre == *self.node.settings.data_centre;
         let may_watch =
             |member: &&Member| matches!(member.state(), NodeState::Ready | NodeState::Starting);
-        let near = others().filter(is_near).filter(may_watch);
-        // Only a starting node asks peers that have not said anything.
-        let is_asked = !self.in_force.is_caught_up();
-        let ready = others().filter(is_ready).filter(|_| is_asked);
+        let local = others().filter(is_local).filter(may_watch);
+        // Only a starting node queries peers that have not announced a generation.
+        let is_starting = !self.state.is_caught_up();
+        let ready = others().filter(is_ready).filter(|_| is_starting);
         PeerView {
             ready: ready.map(|member| member.node_id.clone()).collect(),
             is_watcher: watches_platform(
                 own_id,
-                near.map(|member| member.node_id.as_str()),
+                local.map(|member| member.node_id.as_str()),
                 self.watchers,
             ),
         }
     }
 }
 
-async fn ask_peer(
+async fn pull_from_peer(
     node: &Node,
     node_id: &str,
     above: Generation,
@@ -256,13 +256,13 @@
     let NodeLocation::Remote(peer) = node.locate(member)? else {
         return None;
     };
-    let question = |query_id| {
+    let query = |query_id| {
         frame::Body::ConfigurationPull(ConfigurationPull {
             generation_in_force: above,
             query_id,
         })
     };
-    match node.links.query(&peer, deadline, question).await? {
+    match node.links.query(&peer, deadline, query).await? {
         frame::Body::Configuration(document) => Some(document),
         _ => None,
     }
--- a/crates/hemlocktack-node/src/configuration/mod.rs
+++ b/crates/hemlocktack-node/src/configuration/mod.rs
@@ -1,4 +1,4 @@
-//! Which configuration is in force.
+//! Determines the active configuration and shares it with peers.
 
 mod follow;
 mod relay;
--- a/crates/hemlocktack-node/src/configuration/relay.rs
+++ b/crates/hemlocktack-node/src/configuration/relay.rs
@@ -1,28 +1,28 @@
-//! Handing the configuration in force to nodes that lack it.
+//! Sends the active configuration to nodes that do not have it.
 
 use hemlocktack_protocol::{ConfigurationDocument, ConfigurationPull};
 
 use crate::node::Node;
 
-/// The document in force here if it is newer than what the asker has; else
-/// only the generation, so that the asker knows that it lacks nothing.
+/// Answers a pull with the active document if it is newer than the requester's, otherwise
+/// with the generation only, which tells the requester that it is up to date.
 pub(crate) fn answer_pull(node: &Node, pull: ConfigurationPull) -> ConfigurationDocument {
-    let in_force = node.active_configuration();
-    let Some(in_force) = in_force else {
+    let active = node.active_configuration();
+    let Some(active) = active else {
         return ConfigurationDocument {
             query_id: pull.query_id,
             ..ConfigurationDocument::default()
         };
     };
-    if in_force.generation <= pull.generation_in_force {
+    if active.generation <= pull.generation_in_force {
         return ConfigurationDocument {
-            generation: in_force.generation,
+            generation: active.generation,
             query_id: pull.query_id,
             ..ConfigurationDocument::default()
         };
     }
     ConfigurationDocument {
         query_id: pull.query_id,
-        ..in_force.stored.clone()
+        ..active.stored.clone()
     }
 }
--- a/crates/hemlocktack-node/src/handover/incoming.rs
+++ b/crates/hemlocktack-node/src/handover/incoming.rs
@@ -26,7 +26,10 @@
         return refused;
     }
     let mut table = node.home.table();
-    match node.receiving().handle_frame(&mut table, from, frame) {
+    match node
+        .incoming_handovers()
+        .handle_frame(&mut table, from, frame)
+    {
         Ok(accepted) => {
             if accepted.committed {
                 log_event!(Event::HandoverTaken, home = accepted.home_node_id, %from);
--- a/crates/hemlocktack-node/src/node/configuration.rs
+++ b/crates/hemlocktack-node/src/node/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration in force and what it says.
+//! The active configuration and the values derived from it.
 
 use std::sync::{Arc, PoisonError};
 use std::time::Duration;
@@ -12,34 +12,34 @@
 use super::Node;
 use crate::configuration;
 
-/// Largest body read before any configuration is in force.
+/// Body limit while no configuration is active.
 const BODY_LIMIT_BEFORE_CONFIGURATION_BYTES: usize = 64 << 10;
-/// Largest answer passed on for a service that the configuration lacks.
+/// Limit of answers of a service that the configuration does not declare.
 const ANSWER_LIMIT_BEFORE_CONFIGURATION_BYTES: usize = 1 << 20;
 
-/// Connections that an upstream is taken to accept where nobody says.
-const CONNECTION_LIMIT_UNSAID: u32 = 1_000;
-/// The configuration that decides about calls now.
+/// Connections that an upstream is assumed to accept if no limit is configured.
+const DEFAULT_CONNECTION_LIMIT: u32 = 1_000;
+/// The configuration that currently applies to calls.
 pub(crate) struct ActiveConfiguration {
     pub(crate) generation: Generation,
     pub(crate) document: Document,
-    /// As it is stored, for nodes that lack it.
+    /// The stored form, sent to nodes that do not have this generation.
     pub(crate) stored: ConfigurationDocument,
 }
 
-const MILLE_A_PERCENT: u32 = 10;
-/// Part of what operators allow all nodes together that the nodes keep to. The rest
-/// is for windows that begin at another time on each node, and for nodes that start
-/// again and do not know what they had spent.
-const KEPT_TO_PERCENT: u32 = 80;
+const PER_MILLE_PER_PERCENT: u32 = 10;
+/// Percentage of the configured fleet-wide limit that the nodes actually use. The rest is a
+/// margin, because each node's time window begins at a different time and a restarted node
+/// does not know what it has already used.
+const USED_LIMIT_PERCENT: u32 = 80;
 
 impl Node {
     pub(crate) fn active_configuration(&self) -> Option<Arc<ActiveConfiguration>> {
         self.active_configuration.load_full()
     }
 
-    /// Puts a higher generation in force; a lower or equal one is left aside.
-    /// The task that follows the configuration has found that it can be read.
+    /// Activates a higher generation; a lower or equal one is ignored. The task that follows
+    /// the configuration has already checked that the document can be parsed.
     pub(crate) fn install_configuration(&self, stored: ConfigurationDocument) {
         let document = match self.read_configuration(&stored.document) {
             Ok(document) => document,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Reads a document; the error says what is wrong and where.
+    /// Parses a document; the error describes what is wrong and where.
     pub(crate) fn read_configuration(&self, text: &str) -> std::result::Result<Document, String> {
         match self.interface {
             Some(interface) => (interface.read_configuration)(text),
@@ -71,11 +71,11 @@
         }
     }
 
-    fn configuration_changed(&self, in_force: &ActiveConfiguration) {
-        let generation = in_force.generation;
+    fn configuration_changed(&self, active: &ActiveConfiguration) {
+        let generation = active.generation;
         log_event!(Event::ConfigurationInForce, generation);
-        self.entry_counts.declare(&in_force.document);
-        self.apply_limits(&in_force.document);
+        self.entry_counts.declare(&active.document);
+        self.apply_limits(&active.document);
     }
 
     pub(super) fn apply_limits(&self, document: &Document) {
@@ -88,100 +88,100 @@
         self.home
             .set_kept_answer_bytes(kept_answers_bytes.unwrap_or(usize::MAX));
         if self.adjustable().stop_grace.is_none() {
-            // Covers the most patient caller, which the node's own setting may not.
+            // Long enough for the longest caller timeout, unlike possibly the node's setting.
             let drain_limit = Duration::from_millis(limits.drain_limit_ms);
-            self.update_lifecycle(|life, _| {
-                life.set_hard_limit(drain_limit);
+            self.update_lifecycle(|lifecycle, _| {
+                lifecycle.set_hard_limit(drain_limit);
                 Vec::new()
             });
         }
-        let refused_for = Duration::from_millis(limits.quarantine_ms);
+        let quarantine_time = Duration::from_millis(limits.quarantine_ms);
         let own_service = document.service(&self.settings.service);
         self.admission_queue.with_admission(|admission| {
             admission
                 .quarantine()
-                .set_limits(limits.quarantine_crashes, refused_for);
+                .set_limits(limits.quarantine_crashes, quarantine_time);
             if let Some(service) = own_service {
                 admission.set_queue_limit(service.queue_limit_calls);
             }
         });
     }
 
-    /// Retries of a service's calls that all nodes' edges together keep to.
+    /// Returns the limits for the retries of a service's calls by all nodes together.
     fn fleet_retries(&self, configured_percent: u32) -> FleetRetryLimits {
-        let kept_to = |allowed: u32| allowed.saturating_mul(KEPT_TO_PERCENT) / 100;
+        let with_margin = |limit: u32| limit.saturating_mul(USED_LIMIT_PERCENT) / 100;
         let settings = self.adjustable();
-        let share_per_mille = settings.retry_share_per_mille.map(kept_to);
-        let min_retries = settings.retries_beside_share.map(kept_to);
+        let share_per_mille = settings.retry_share_per_mille.map(with_margin);
+        let min_retries = settings.retries_beside_share.map(with_margin);
         FleetRetryLimits {
-            share_per_mille: share_per_mille.unwrap_or(configured_percent * MILLE_A_PERCENT),
+            share_per_mille: share_per_mille.unwrap_or(configured_percent * PER_MILLE_PER_PERCENT),
             min_retries: min_retries.unwrap_or(FleetRetryLimits::default().min_retries),
         }
     }
 
-    /// Classes that the configuration in force declares.
+    /// Returns the number of classes in the active configuration.
     pub(crate) fn class_count(&self) -> usize {
-        let in_force = self.active_configuration.load();
-        in_force
+        let active = self.active_configuration.load();
+        active
             .as_ref()
-            .map_or(0, |in_force| in_force.document.classes.len())
+            .map_or(0, |active| active.document.classes.len())
     }
 
     pub(crate) fn body_limit_bytes(&self, service: &str) -> usize {
-        self.of_service(service, |service| service.body_limit_bytes)
+        self.read_service(service, |service| service.body_limit_bytes)
             .unwrap_or(BODY_LIMIT_BEFORE_CONFIGURATION_BYTES)
     }
 
-    /// What callers may send and how long they may take.
+    /// Returns the size limits and timeouts for callers.
     pub(crate) fn client_limits(&self) -> ClientLimits {
-        let in_force = self.active_configuration.load();
-        let declared = in_force.as_ref();
-        declared.map_or_else(ClientLimits::default, |in_force| {
-            in_force.document.client_limits
+        let active = self.active_configuration.load();
+        let active = active.as_ref();
+        active.map_or_else(ClientLimits::default, |active| {
+            active.document.client_limits
         })
     }
 
-    /// Connections that the upstream accepts, where the operators say so.
+    /// Returns how many connections the upstream accepts, as configured or by default.
     pub(crate) fn connection_limit(&self) -> u32 {
-        self.of_service(&self.settings.service, |service| service.connection_limit)
+        self.read_service(&self.settings.service, |service| service.connection_limit)
             .flatten()
-            .unwrap_or(CONNECTION_LIMIT_UNSAID)
+            .unwrap_or(DEFAULT_CONNECTION_LIMIT)
     }
 
-    /// Where the upstream is asked for its health.
-    pub(crate) fn health_path(&self, usual: &str) -> String {
-        self.of_service(&self.settings.service, |service| {
+    /// Returns the path of the upstream's health check, as configured or `default`.
+    pub(crate) fn health_path(&self, default: &str) -> String {
+        self.read_service(&self.settings.service, |service| {
             service.health_path.clone()
         })
         .flatten()
-        .unwrap_or_else(|| usual.to_owned())
+        .unwrap_or_else(|| default.to_owned())
     }
 
-    /// Of the service beside this node.
+    /// Returns the answer limit of this node's service.
     pub(crate) fn answer_limit_bytes(&self) -> usize {
-        self.of_service(&self.settings.service, |service| service.answer_limit_bytes)
+        self.read_service(&self.settings.service, |service| service.answer_limit_bytes)
             .unwrap_or(ANSWER_LIMIT_BEFORE_CONFIGURATION_BYTES)
     }
 
-    /// What the configuration in force says of a service that it declares.
-    fn of_service<T>(&self, name: &str, read: impl FnOnce(&Service) -> T) -> Option<T> {
-        let in_force = self.active_configuration.load();
-        let service = in_force.as_ref()?.document.service(name)?;
+    /// Reads a value of a service that the active configuration declares.
+    fn read_service<T>(&self, name: &str, read: impl FnOnce(&Service) -> T) -> Option<T> {
+        let active = self.active_configuration.load();
+        let service = active.as_ref()?.document.service(name)?;
         Some(read(service))
     }
 
     pub(crate) fn active_generation(&self) -> Generation {
-        let in_force = self.active_configuration.load();
-        in_force.as_ref().map_or(0, |in_force| in_force.generation)
+        let active = self.active_configuration.load();
+        active.as_ref().map_or(0, |active| active.generation)
     }
 
-    /// Tells the task that follows the configuration. An event that finds its
-    /// queue full is dropped: the task asks again.
+    /// Sends an event to the task that follows the configuration. If the queue is full, the
+    /// event is dropped; the task polls again anyway.
     pub(crate) fn send_configuration_event(&self, event: configuration::Event) {
         let _ = self.configuration_events.try_send(event);
     }
 
-    /// The queue of that task, once.
+    /// Takes the event queue for that task; returns `None` after the first call.
     pub(crate) fn take_configuration_events(&self) -> Option<mpsc::Receiver<configuration::Event>> {
         let mut receiver = self
             .configuration_receiver
--- a/crates/hemlocktack-node/src/node/lifecycle.rs
+++ b/crates/hemlocktack-node/src/node/lifecycle.rs
@@ -1,4 +1,4 @@
-//! From the node's start to its planned stop.
+//! Lifecycle of a node, from its start to its planned stop.
 
 use std::sync::{Arc, PoisonError};
 use std::time::{Duration, Instant};
@@ -8,77 +8,80 @@
 
 use super::Node;
 
-/// A stopping node takes requests for this long: readiness is asked once a
-/// second, and two refusals send callers elsewhere.
-const ENTRIES_TAKEN_IN_STOP: Duration = Duration::from_millis(2_800);
+/// How long a stopping node still accepts requests from callers. Readiness is probed once
+/// per second, and after two failed probes callers are sent to other nodes.
+const ENTRY_ACCEPT_TIME: Duration = Duration::from_millis(2_800);
 
 impl Node {
-    /// An operator wants this node to drain and stop; once is enough.
+    /// Requests the drain and stop of this node. Repeated requests have no further effect.
     pub(crate) fn request_stop(&self) {
         self.stop_request.notify_one();
     }
 
-    /// Ends when an operator has ordered the stop.
+    /// Completes when a stop has been requested.
     pub(crate) async fn stop_requested(&self) {
         self.stop_request.notified().await;
     }
 
-    /// Takes nothing new for the upstream from now on.
+    /// Begins the planned stop: no new calls are accepted for the upstream.
     pub(crate) fn begin_stop(&self) {
         let _ = self.stop_began.set(Instant::now());
         self.update_lifecycle(|life, now| life.drain(now));
     }
 
-    /// Time left of a planned stop for calls in flight; none before it begins.
+    /// Returns the time that a planned stop still waits for calls in flight; zero before the
+    /// stop begins.
     pub(crate) fn drain_time_left(&self) -> Duration {
         let limit = super::policies::drain_limit(&self.adjustable());
         let elapsed = self.stop_began.get().map(Instant::elapsed);
         elapsed.map_or(Duration::ZERO, |elapsed| limit.saturating_sub(elapsed))
     }
 
-    /// Whether requests that enter now are refused because the node stops.
+    /// Returns whether new requests from callers are refused because the node is stopping.
     ///
-    /// Failure: the platform sends callers elsewhere only once the node has
-    /// said twice that it is not ready. Refusing before that would turn away
-    /// callers who had no way to know; taking requests until the end would cut
-    /// those off that are not done by then.
+    /// The platform redirects callers only after two failed readiness probes. Refusing
+    /// earlier would fail requests of callers that could not know of the stop; accepting
+    /// until the end would interrupt requests that do not finish in time.
     pub(crate) fn refuses_entries(&self) -> bool {
         self.stop_began
             .get()
-            .is_some_and(|began| began.elapsed() >= ENTRIES_TAKEN_IN_STOP)
+            .is_some_and(|began| began.elapsed() >= ENTRY_ACCEPT_TIME)
     }
 
-    /// Whether nothing is passed on any more: the stop waits for the answers to
-    /// what was passed on before, and for nothing else.
+    /// Returns whether requests are no longer forwarded. The stop then only waits for the
+    /// answers to requests that were forwarded before.
     pub(crate) fn has_closed(&self) -> bool {
         self.signals.closing.is_cancelled()
     }
 
-    /// Whether a planned stop has begun.
+    /// Returns whether a planned stop has begun.
     pub(crate) fn is_stopping(&self) -> bool {
         matches!(self.state(), NodeState::Draining | NodeState::Left)
     }
 
     pub(crate) fn state(&self) -> NodeState {
-        self.publication().state
+        self.published_state().state
     }
 
-    /// What others are told of this node and its upstream.
-    pub(crate) fn publication(&self) -> PublishedState {
-        **self.publication.load()
+    /// Returns the state of this node and its upstream published to members.
+    pub(crate) fn published_state(&self) -> PublishedState {
+        **self.published_state.load()
     }
 
-    /// Lets something happen in the life of this node; what it publishes then
-    /// is told to members at once.
+    /// Applies a change to the node's lifecycle. If that changes the published state, members
+    /// are notified at once.
     pub(crate) fn update_lifecycle(
         &self,
         change: impl FnOnce(&mut NodeLifecycle, Instant) -> Vec<LifecycleAction>,
     ) -> Vec<LifecycleAction> {
-        let mut life = self.life.lock().unwrap_or_else(PoisonError::into_inner);
-        let actions = change(&mut life, Instant::now());
+        let mut lifecycle = self
+            .lifecycle
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let actions = change(&mut lifecycle, Instant::now());
         for action in &actions {
-            if let LifecycleAction::Publish(publication) = action {
-                self.publication.store(Arc::new(*publication));
+            if let LifecycleAction::Publish(state) = action {
+                self.published_state.store(Arc::new(*state));
                 self.signals.own_record_changed.notify_one();
             }
         }
--- a/crates/hemlocktack-node/src/node/members.rs
+++ b/crates/hemlocktack-node/src/node/members.rs
@@ -1,4 +1,4 @@
-//! What this node knows of the others and says of itself.
+//! The members known to this node, and the record it publishes about itself.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, MutexGuard, PoisonError};
@@ -19,32 +19,33 @@
 }
 
 impl Node {
-    /// All nodes known, this one included.
+    /// Returns all known nodes, including this one.
     pub(crate) fn members(&self) -> Arc<Vec<Member>> {
         self.members.load_full()
     }
 
-    /// Takes in a new view of the fleet.
+    /// Replaces the known members and updates everything derived from them.
     pub(crate) fn set_members(&self, members: Vec<Member>) {
         self.log_changes(&members);
-        self.services.update(&members, self.place_among(&members));
+        self.services
+            .update(&members, self.position_among(&members));
         self.platform.set_node_count(members.len());
-        // A stopping node that is not known here yet may still commit.
-        self.receiving().retain_offers_of(|from| {
+        // A stopping node that is not known here yet may still commit its handover.
+        self.incoming_handovers().retain_offers_of(|from| {
             let known = members
                 .iter()
                 .find(|member| *member.node_id == *from.node_id);
             known.is_none_or(|known| {
-                let has_gone = matches!(known.state(), NodeState::Left | NodeState::Dead);
-                known.incarnation == from.incarnation && !has_gone
+                let is_gone = matches!(known.state(), NodeState::Left | NodeState::Dead);
+                known.incarnation == from.incarnation && !is_gone
             })
         });
         self.members.store(Arc::new(members));
     }
 
-    /// This node's number among those that may make retries, by their names. One
-    /// that may be down still counts: it may only be out of reach from here.
-    fn place_among(&self, members: &[Member]) -> NodePosition {
+    /// Returns this node's position, by name, among the nodes that may make retries. A node
+    /// that seems to be down still counts, because it may only be unreachable from here.
+    fn position_among(&self, members: &[Member]) -> NodePosition {
         let has_left = |member: &&Member| member.state() == NodeState::Left;
         let others = members.iter().filter(|member| !has_left(member));
         let names = others.map(|member| member.node_id.as_str());
@@ -60,7 +61,7 @@
         }
     }
 
-    /// One line for each change of belief, with the version that it rests on.
+    /// Logs one line per changed member, with the version of its record.
     fn log_changes(&self, members: &[Member]) {
         let known = self.members.load();
         for member in members {
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Where a member is reached; `None` if its address cannot be read.
+    /// Returns where a member is reached; `None` if its address cannot be parsed.
     pub(crate) fn locate(&self, member: &Member) -> Option<NodeLocation> {
         if *member.node_id == *self.identity.node_id {
             return Some(NodeLocation::Local);
@@ -98,7 +99,7 @@
         }))
     }
 
-    /// Where links to this start of a node are dialled, as far as it is known here.
+    /// Returns the link address of this incarnation of a node, if it is known.
     pub(crate) fn link_address_of(&self, node: &NodeIncarnation) -> Option<String> {
         let members = self.members.load();
         let member = members.iter().find(|member| {
@@ -107,30 +108,30 @@
         Some(member.link_address.clone())
     }
 
-    /// Who took over a home's tickets, as members publish it.
+    /// Returns the node that took over the tickets of `home`, as published by members.
     pub(crate) fn successor_of(&self, home: &NodeIncarnation) -> Option<NodeIncarnation> {
         let members = self.members.load();
-        let is_of_home = |succession: &Succession| {
+        let is_for_home = |succession: &Succession| {
             succession.home_incarnation == home.incarnation
                 && *succession.home_node_id == *home.node_id
         };
         let successor = members
             .iter()
-            .find(|member| member.successions.iter().any(is_of_home))?;
+            .find(|member| member.successions.iter().any(is_for_home))?;
         Some(NodeIncarnation::new(
             successor.node_id.as_str(),
             successor.incarnation,
         ))
     }
 
-    /// Tables of stopping nodes on their way here.
-    pub(crate) fn receiving(&self) -> MutexGuard<'_, IncomingHandovers> {
-        self.receiving
+    /// Ticket tables that stopping nodes are handing over to this node.
+    pub(crate) fn incoming_handovers(&self) -> MutexGuard<'_, IncomingHandovers> {
+        self.incoming_handovers
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Homes whose tickets this node took over, itself left out.
+    /// Returns the other homes whose tickets this node took over.
     fn successions(&self) -> Vec<Succession> {
         let table = self.home.table();
         let adopted = table.homes().skip(1);
@@ -142,9 +143,10 @@
             .collect()
     }
 
-    /// What this node says of itself to others.
+    /// Returns the record that this node publishes about itself.
     pub(crate) fn own_member(&self) -> Member {
-        // Each takes the table's lock; in one expression they would both hold it.
+        // Both lock the table; in a single expression they would hold the lock at the same
+        // time and deadlock.
         let ticket_epoch = self.home.table().current_epoch();
         let successions = self.successions();
         Member {
@@ -159,9 +161,9 @@
             gossip_address: self.settings.gossip_address.to_string(),
             ticket_epoch,
             successions,
-            slots: self.publication().slots,
+            slots: self.published_state().slots,
             start_order: self.start_order,
-            // Membership counts the versions.
+            // Set by membership.
             version: 0,
         }
     }
--- a/crates/hemlocktack-node/src/node/mod.rs
+++ b/crates/hemlocktack-node/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! State that all parts of a node share, by what each part of it is for.
+//! State shared by all parts of a node, with one module per concern.
 
 mod configuration;
 mod lifecycle;
@@ -10,7 +10,7 @@
 
 pub(crate) use configuration::ActiveConfiguration;
 pub(crate) use members::NodeLocation;
-pub(crate) use policies::DRAIN_SETTLE;
+pub(crate) use policies::MIN_DRAIN_TIME;
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, OnceLock};
@@ -40,11 +40,11 @@
 use crate::telemetry::{EntryCounts, LogRateLimiter, LogThrottle, Waits};
 use crate::upstream::{Announcement, UpstreamClient, UpstreamStarts};
 
-/// One start of one node.
+/// One incarnation of a node, from its start to its exit.
 pub(crate) struct Node {
     pub(crate) settings: Settings,
     adjustable: ArcSwap<AdjustableSettings>,
-    /// The interface that is spoken instead of the product's own.
+    /// The adapter of an interface other than the native one.
     pub(crate) interface: Option<Interface>,
     pub(crate) identity: NodeIncarnation,
     pub(crate) keys: FleetKeys,
@@ -61,28 +61,28 @@
     pub(crate) unreadable_answers: LogThrottle,
     pub(crate) link_refusals: LogThrottle,
     pub(crate) datagram_refusals: LogThrottle,
-    /// Log lines about single calls.
+    /// Limits log lines about single calls.
     pub(crate) call_log_limiter: LogRateLimiter,
-    /// The same about those that the drain's limit ends.
+    /// Limits log lines about calls that the drain limit ends.
     pub(crate) drain_log_limiter: LogRateLimiter,
     pub(crate) tracer: Tracer,
     pub(crate) waits: Waits,
     pub(crate) entry_counts: EntryCounts,
-    /// Connections of an interface's callers.
+    /// Open connections of the gateway.
     pub(crate) connections: TaskTracker,
     stop_request: Notify,
     stop_began: OnceLock<Instant>,
-    receiving: Mutex<IncomingHandovers>,
+    incoming_handovers: Mutex<IncomingHandovers>,
     chain_edges: Mutex<ChainEdges>,
     active_configuration: ArcSwapOption<ActiveConfiguration>,
     members: ArcSwap<Vec<Member>>,
-    /// Gossip addresses to try where nobody else is known.
+    /// Gossip addresses to try while no other node is known.
     pub(crate) seeds: ArcSwap<Vec<SocketAddr>>,
     pub(crate) records: NodeRecords,
     pub(crate) gossip_counts: GossipCounts,
     pub(crate) signals: Signals,
-    life: Mutex<NodeLifecycle>,
-    publication: ArcSwap<PublishedState>,
+    lifecycle: Mutex<NodeLifecycle>,
+    published_state: ArcSwap<PublishedState>,
     upstream: ArcSwapOption<Announcement>,
     upstream_starts: Mutex<UpstreamStarts>,
     configuration_events: mpsc::Sender<follower::Event>,
@@ -90,25 +90,25 @@
     start_order: u64,
 }
 
-/// What the node's own tasks wait for.
+/// Signals between the node's tasks.
 #[derive(Default)]
 pub(crate) struct Signals {
-    /// The own record or the generation in force has changed.
+    /// This node's own record or active generation has changed.
     pub(crate) own_record_changed: Notify,
-    /// Gossip addresses of others have been read from the platform.
+    /// Gossip addresses of other nodes have been read from the platform.
     pub(crate) seeds_changed: Notify,
-    /// Members have been told that this node has left.
+    /// Members have been notified that this node is leaving.
     pub(crate) leave_announced: Notify,
-    /// No request is taken any more: callers' connections end with what is on them.
+    /// No more requests are accepted; connections close after their current request.
     pub(crate) closing: CancellationToken,
-    /// The drain's limit has come: callers are told what is known by now.
+    /// The drain limit is reached; callers are told the outcome as far as it is known.
     pub(crate) drain_limit_reached: CancellationToken,
-    /// The node has stopped: its tasks end.
+    /// The node has stopped; its tasks end.
     pub(crate) stopped: CancellationToken,
 }
 
-/// Events of the configuration that may wait.
-const CONFIGURATION_EVENTS_LIMIT: usize = 256;
+/// Capacity of the queue of configuration events.
+const CONFIGURATION_EVENT_CAPACITY: usize = 256;
 
 impl Node {
     pub(crate) fn new(
@@ -120,8 +120,8 @@
         tracer: Tracer,
     ) -> Self {
         let identity = NodeIncarnation::new(settings.node_id.clone(), rand::random());
-        let (configuration_events, receiver) = mpsc::channel(CONFIGURATION_EVENTS_LIMIT);
-        let life = NodeLifecycle::new(
+        let (configuration_events, receiver) = mpsc::channel(CONFIGURATION_EVENT_CAPACITY);
+        let lifecycle = NodeLifecycle::new(
             policies::drain_settings(&settings, &adjustable),
             Instant::now(),
         );
@@ -131,8 +131,8 @@
             records: NodeRecords::new(platform.clone()),
             gossip_counts: GossipCounts::default(),
             signals: Signals::default(),
-            publication: ArcSwap::from_pointee(life.publication()),
-            life: Mutex::new(life),
+            published_state: ArcSwap::from_pointee(lifecycle.publication()),
+            lifecycle: Mutex::new(lifecycle),
             configuration_events,
             configuration_receiver: Mutex::new(Some(receiver)),
             start_order: unix_ms(),
@@ -154,7 +154,7 @@
             connections: TaskTracker::new(),
             stop_request: Notify::new(),
             stop_began: OnceLock::new(),
-            receiving: Mutex::new(IncomingHandovers::new(HandoverLimits::default())),
+            incoming_handovers: Mutex::new(IncomingHandovers::new(HandoverLimits::default())),
             chain_edges: Mutex::default(),
             interface: interfaces::find(settings.interface),
             identity,
@@ -170,18 +170,18 @@
         }
     }
 
-    /// Settings that may change while the node runs, as they are now.
+    /// Returns the current values of the settings that may change while the node runs.
     pub(crate) fn adjustable(&self) -> Arc<AdjustableSettings> {
         self.adjustable.load_full()
     }
 
-    /// Takes over changed settings.
+    /// Applies changed settings.
     pub(crate) fn apply_settings(&self, adjustable: &AdjustableSettings) {
         self.adjustable.store(Arc::new(adjustable.clone()));
         self.platform.set_rates(adjustable.platform_rates);
         let drain_limit = policies::drain_limit(adjustable);
-        self.update_lifecycle(|life, _| {
-            life.set_hard_limit(drain_limit);
+        self.update_lifecycle(|lifecycle, _| {
+            lifecycle.set_hard_limit(drain_limit);
             Vec::new()
         });
         if let Some(active_configuration) = self.active_configuration() {
@@ -195,13 +195,13 @@
         self.signals.seeds_changed.notify_one();
     }
 
-    /// Counts a call as in flight until the guard goes.
+    /// Counts a call as in flight until the guard is dropped.
     pub(crate) fn track_call(&self) -> InFlightGuard {
         self.counters.track_call()
     }
 }
 
-/// Wall clock in milliseconds: it only ranks the starts of one node.
+/// Returns the wall-clock time in milliseconds, used only to order the starts of one node.
 fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     since.map_or(0, |since| {
--- a/crates/hemlocktack-node/src/node/policies.rs
+++ b/crates/hemlocktack-node/src/node/policies.rs
@@ -1,4 +1,4 @@
-//! How a node behaves by the interface that it speaks.
+//! Policies of a node that depend on its interface and settings.
 
 use std::time::Duration;
 
@@ -9,21 +9,21 @@
 use crate::settings::{AdjustableSettings, InterfaceName, Settings};
 use crate::upstream::{MAX_MISSED_RENEWALS, RENEWAL_INTERVAL};
 
-/// News of a drain reaches all nodes within this time; until then a draining
-/// node is there to refuse what still comes.
-pub(crate) const DRAIN_SETTLE: Duration = Duration::from_secs(2);
-/// A stopping node whose callers are sent elsewhere by its readiness stays at
-/// least so long.
-const INTERFACE_DRAIN_SETTLE: Duration = Duration::from_millis(2_500);
-/// Kept back from the time between the signal to stop and the end by force:
-/// to tell callers, to say farewell and to exit.
+/// Minimum duration of a drain. All nodes learn of the drain within this time; until then
+/// the draining node has to refuse the calls that still arrive.
+pub(crate) const MIN_DRAIN_TIME: Duration = Duration::from_secs(2);
+/// Minimum duration of a drain with an interface whose callers are redirected after failed
+/// readiness probes.
+const INTERFACE_MIN_DRAIN_TIME: Duration = Duration::from_millis(2_500);
+/// Part of the grace period that is reserved for sending the last responses, announcing the
+/// departure and exiting, before the process is killed.
 const EXIT_TIME: Duration = Duration::from_millis(700);
-/// Largest part of the grace period that is kept back, as a divisor: of a short one
-/// at least five sixths stay for requests in flight.
+/// Limits the reserved time to this fraction of the grace period, so that a short grace
+/// period leaves at least five sixths to the requests in flight.
 const EXIT_TIME_DIVISOR: u32 = 6;
-/// An upstream whose announcements come through an interface renews every
-/// second or two and may be seconds late; that it is down shows when a
-/// connection fails.
+/// Time until the announcement of an upstream expires, with an interface. Such an upstream
+/// renews it every one or two seconds and may be seconds late. A crash is noticed earlier,
+/// when a connection to the upstream fails.
 const INTERFACE_ANNOUNCEMENT_TTL: Duration = Duration::from_secs(10);
 
 pub(super) fn drain_settings(
@@ -32,8 +32,8 @@
 ) -> DrainSettings {
     DrainSettings {
         min_drain_time: match settings.interface {
-            InterfaceName::Own => DRAIN_SETTLE,
-            InterfaceName::Cooperative => INTERFACE_DRAIN_SETTLE,
+            InterfaceName::Own => MIN_DRAIN_TIME,
+            InterfaceName::Cooperative => INTERFACE_MIN_DRAIN_TIME,
         },
         hard_limit: Some(drain_limit(adjustable)),
         handover_limit: handover::TIME_LIMIT,
@@ -48,8 +48,8 @@
     }
 }
 
-/// Routes of an interface state objectives; the product's own configuration has
-/// none.
+/// Returns the admission policy. Only routes of an interface have latency objectives; the
+/// native configuration has none.
 pub(super) fn admission_policy(settings: &Settings) -> AdmissionPolicy {
     AdmissionPolicy {
         objective: match settings.interface {
@@ -60,6 +60,7 @@
     }
 }
 
+/// Returns how long a planned stop waits for calls in flight.
 pub(super) fn drain_limit(adjustable: &AdjustableSettings) -> Duration {
     let grace = adjustable.stop_grace;
     grace.map_or(adjustable.drain_limit, |grace| {
--- a/crates/hemlocktack-node/src/node/tests.rs
+++ b/crates/hemlocktack-node/src/node/tests.rs
@@ -1,12 +1,12 @@
-//! How a node behaves by its settings.
+//! Policies that depend on the settings.
 
 use std::time::Duration;
 
 use super::policies::drain_limit;
 use crate::settings::for_tests;
 
-/// A short grace period, of which the exit's time is a large part: a request at
-/// which an upstream works is broken off earlier than it has to be.
+/// Guards against ending requests too early: with a short grace period, the time reserved
+/// for the exit would be a large part of it.
 #[test]
 fn a_drain_waits_until_the_last_sixth_of_the_grace_period() {
     for grace_ms in (500..30_000).step_by(100) {
--- a/crates/hemlocktack-node/src/node/upstream.rs
+++ b/crates/hemlocktack-node/src/node/upstream.rs
@@ -1,4 +1,4 @@
-//! The upstream beside the node and the services behind it.
+//! State of the upstream beside the node and of the services that it calls.
 
 use std::sync::{Arc, MutexGuard, PoisonError};
 use std::time::Instant;
@@ -11,63 +11,64 @@
 use crate::upstream::{Announcement, UpstreamStarts};
 
 impl Node {
-    /// Which starts of the upstream have announced themselves.
+    /// Returns the starts of the upstream that have announced themselves.
     pub(crate) fn upstream_starts(&self) -> MutexGuard<'_, UpstreamStarts> {
         self.upstream_starts
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes an announcement; calls go to the announced address from then on.
+    /// Applies an announcement; from then on calls go to the announced address.
     pub(crate) fn apply_announcement(&self, announcement: Announcement) {
-        self.update_lifecycle(|life, now| {
+        self.update_lifecycle(|lifecycle, now| {
             let before = self.upstream.load();
             let is_other_start = before
                 .as_ref()
                 .is_some_and(|before| before.start_number != announcement.start_number);
-            let word = drain::Announcement {
+            let announced = drain::Announcement {
                 address: announcement.address,
                 slots: announcement.slots,
                 is_cold: announcement.cold,
                 is_other_start,
             };
-            let actions = life.announce(now, word);
+            let actions = lifecycle.announce(now, announced);
             self.upstream.store(Some(Arc::new(announcement)));
-            self.admission_follows(life, now);
+            self.sync_admission(lifecycle, now);
             actions
         });
     }
 
-    /// Drops an upstream whose announcement has lapsed.
+    /// Removes an upstream whose announcement has expired.
     ///
-    /// Failure: an upstream vanishes without a word, and calls queue for slots
-    /// that are not there until their callers give up. They are refused as soon
-    /// as the announcement has lapsed, while another node may still answer them.
+    /// If an upstream disappears without notice, calls would queue for its slots until their
+    /// callers time out. They are refused as soon as the announcement expires, while another
+    /// node may still answer them.
     pub(crate) fn check_upstream(&self) {
-        self.update_lifecycle(|life, now| {
-            let actions = life.check_upstream(now);
-            self.admission_follows(life, now);
+        self.update_lifecycle(|lifecycle, now| {
+            let actions = lifecycle.check_upstream(now);
+            self.sync_admission(lifecycle, now);
             actions
         });
     }
 
     pub(crate) fn mark_upstream_draining(&self) {
-        self.update_lifecycle(|life, now| {
-            let actions = life.drain_upstream();
-            self.admission_follows(life, now);
+        self.update_lifecycle(|lifecycle, now| {
+            let actions = lifecycle.drain_upstream();
+            self.sync_admission(lifecycle, now);
             actions
         });
     }
 
-    /// Takes the admission's lock inside that of the life, never the other way
-    /// round: what one event decides is carried out before the next one.
-    fn admission_follows(&self, life: &NodeLifecycle, now: Instant) {
+    /// Updates the admission to the upstream's state. The admission's lock is taken while the
+    /// lifecycle's is held, never the other way round, so that the effects of one event are
+    /// applied before the next event.
+    fn sync_admission(&self, lifecycle: &NodeLifecycle, now: Instant) {
         let announcement = self.upstream.load();
         let announcement = announcement.as_deref();
         let slots = announcement.map_or(0, |announcement| announcement.slots);
         let connections = announcement.map_or(0, |announcement| announcement.connections);
         self.admission_queue.with_admission(|admission| {
-            admission.sync_upstream_state(life.upstream(), slots, connections, now)
+            admission.sync_upstream_state(lifecycle.upstream(), slots, connections, now)
         });
     }
 
@@ -76,23 +77,25 @@
     }
 
     pub(crate) fn upstream_state(&self) -> UpstreamState {
-        self.publication().upstream
+        self.published_state().upstream
     }
 
-    /// Learns which kinds of deeper calls an answered call of `kind` made.
-    pub(crate) fn record_chain_edges(&self, kind: WorkKind, deeper: &[WorkKind]) {
+    /// Records which kinds of child calls an answered call of `kind` made.
+    pub(crate) fn record_chain_edges(&self, kind: WorkKind, child_kinds: &[WorkKind]) {
         self.chain_edges
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .record_answer(kind, deeper);
+            .record_answer(kind, child_kinds);
     }
 
-    /// Strictest shed level among the services that calls of `kind` go on to.
+    /// Returns the strictest shed level among the services that calls of `kind` call in turn.
     pub(crate) fn chain_shed_level(&self, kind: WorkKind) -> ShedLevel {
         let edges = self
             .chain_edges
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        edges.level(kind, |deeper| self.services.shed_level_of_kind(deeper))
+        edges.level(kind, |child_kind| {
+            self.services.shed_level_of_kind(child_kind)
+        })
     }
 }
--- a/crates/hemlocktack-node/src/peers/gossip.rs
+++ b/crates/hemlocktack-node/src/peers/gossip.rs
@@ -130,7 +130,7 @@
 
     /// Sends changes of this node's own state to members; its departure is sent at once.
     async fn publish_own_state(&mut self) {
-        let publication = self.node.publication();
+        let publication = self.node.published_state();
         let own = self.membership.own();
         let is_changed = own.state() != publication.state
             || own.upstream() != publication.upstream
--- a/crates/hemlocktack-node/src/stop.rs
+++ b/crates/hemlocktack-node/src/stop.rs
@@ -8,7 +8,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 use crate::handover;
-use crate::node::{DRAIN_SETTLE, Node};
+use crate::node::{MIN_DRAIN_TIME, Node};
 
 /// How often the drain checks whether calls are still in flight.
 const DRAIN_POLL: Duration = Duration::from_millis(20);
@@ -41,11 +41,11 @@
     // Other nodes issue tickets with this node as their home until they learn of the drain;
     // meanwhile it delegates their calls. If it never stopped accepting tickets, the drain
     // would not end under load.
-    tokio::time::sleep(DRAIN_SETTLE.min(node.drain_time_left())).await;
+    tokio::time::sleep(MIN_DRAIN_TIME.min(node.drain_time_left())).await;
     node.home.table().stop_accepting();
     loop {
         let in_flight = usize::try_from(node.counters.in_flight()).unwrap_or(usize::MAX);
-        for action in node.update_lifecycle(|life, now| life.check_stop(now, in_flight)) {
+        for action in node.update_lifecycle(|lifecycle, now| lifecycle.check_stop(now, in_flight)) {
             match action {
                 LifecycleAction::ReportOverrun { in_flight } => {
                     log_event!(Event::DrainLimitReached, in_flight);
@@ -62,7 +62,7 @@
     // Callers of another interface hold no tickets.
     if node.interface.is_some() {
         log_event!(Event::DrainFinished);
-        node.update_lifecycle(|life, _| life.handed_over());
+        node.update_lifecycle(|lifecycle, _| lifecycle.handed_over());
         return;
     }
     match handover::send_tickets(node).await {
@@ -70,5 +70,5 @@
         None => log_event!(Event::HandoverFailed),
     }
     log_event!(Event::DrainFinished);
-    node.update_lifecycle(|life, _| life.handed_over());
+    node.update_lifecycle(|lifecycle, _| lifecycle.handed_over());
 }
--- a/crates/hemlocktack-node/src/telemetry/metrics.rs
+++ b/crates/hemlocktack-node/src/telemetry/metrics.rs
@@ -134,7 +134,8 @@
     let help = "Estimated time the upstream takes for one call";
     seconds(registry, "service_time", help, service_time);
     let shed = ShedLevel::unpack(load.shed_level).classes_shed(node.class_count());
-    let help = "Classes being shed, starting with the lowest; 1.5 means one class and half of the next";
+    let help =
+        "Classes being shed, starting with the lowest; 1.5 means one class and half of the next";
     float(registry, "shed_classes", help, shed);
     let quarantined = status.quarantined_fingerprints.len() as u64;
     let help = "Requests refused because upstreams crashed while running them";
