--- a/crates/hemlocktack-fleet/src/membership/receive.rs
+++ b/crates/hemlocktack-fleet/src/membership/receive.rs
@@ -103,13 +103,13 @@
     /// cannot still be running.
     fn handle_record_of_self(
         &mut self,
-        heard: Member,
+        received: Member,
         corrections: &mut Vec<Member>,
         actions: &mut Vec<MembershipAction>,
     ) {
-        let same_start = heard.incarnation == self.own.incarnation;
-        let is_accusation = record::is_accusation(&heard);
-        if Freshness::of(&heard) <= Freshness::of(&self.own) {
+        let same_start = received.incarnation == self.own.incarnation;
+        let is_accusation = record::is_accusation(&received);
+        if Freshness::of(&received) <= Freshness::of(&self.own) {
             if !same_start {
                 self.gossip_queue.push(&self.own.node_id);
             }
@@ -119,30 +119,30 @@
             return;
         }
         if same_start {
-            self.refute(&heard, corrections);
+            self.refute(&received, corrections);
             return;
         }
         if !self.settings.is_enabled(MembershipSafeguard::StartOrder) {
             return;
         }
-        let is_elsewhere = !is_accusation && heard.gossip_address != self.own.gossip_address;
-        let is_gone = heard.state() == NodeState::Left;
+        let is_elsewhere = !is_accusation && received.gossip_address != self.own.gossip_address;
+        let is_gone = received.state() == NodeState::Left;
         if is_elsewhere && !is_gone && self.joined {
             actions.push(MembershipAction::Superseded {
-                by: heard.incarnation,
+                by: received.incarnation,
             });
             return;
         }
-        self.own.start_order = heard.start_order.saturating_add(1);
+        self.own.start_order = received.start_order.saturating_add(1);
         self.raise_own_version();
         corrections.push(self.own.clone());
     }
 
-    fn refute(&mut self, heard: &Member, corrections: &mut Vec<Member>) {
+    fn refute(&mut self, received: &Member, corrections: &mut Vec<Member>) {
         if !self.settings.is_enabled(MembershipSafeguard::Refutation) {
             return;
         }
-        self.own.version = heard.version;
+        self.own.version = received.version;
         self.raise_own_version();
         corrections.push(self.own.clone());
     }
--- a/crates/hemlocktack-fleet/tests/at_most_once/properties.rs
+++ b/crates/hemlocktack-fleet/tests/at_most_once/properties.rs
@@ -85,7 +85,6 @@
                         _ => table.mark_started(nonce),
                     };
                     if recorded.is_ok() {
-
                         prop_assert!(seen.admitted && !seen.may_run && !seen.ended, "ran twice");
                         seen.may_run = true;
                     }
--- a/crates/hemlocktack-fleet/tests/membership/addresses.rs
+++ b/crates/hemlocktack-fleet/tests/membership/addresses.rs
@@ -10,7 +10,7 @@
 
 const HELPER: u16 = 0;
 const GONE: u16 = 1;
-const ASKER: u16 = 2;
+const REQUESTER: u16 = 2;
 const SUCCESSOR: u16 = 3;
 
 fn from(number: u16, body: gossip::Body) -> Gossip {
@@ -45,13 +45,17 @@
 fn is_ack_relayed(answers: u16) -> bool {
     let now = Instant::now();
     let mut helper = node(HELPER, now);
-    receive_records(&mut helper, now, vec![record(GONE, 1), record(ASKER, 1)]);
+    receive_records(
+        &mut helper,
+        now,
+        vec![record(GONE, 1), record(REQUESTER, 1)],
+    );
     let request = IndirectProbe {
         sequence: 40,
         target_node_id: record(GONE, 1).node_id,
     };
-    let request = from(ASKER, gossip::Body::IndirectProbe(request));
-    let actions = helper.receive(now, address(ASKER), request, &mut rng());
+    let request = from(REQUESTER, gossip::Body::IndirectProbe(request));
+    let actions = helper.receive(now, address(REQUESTER), request, &mut rng());
     let (to, sequence) = probe_in(&actions).expect("the helper probes the member");
     assert_eq!(to, address(GONE));
     let ack = ProbeAck {
@@ -73,7 +77,7 @@
 /// Delivers each datagram to the node that uses the recipient's address, and recursively the
 /// datagrams that it sends in reply. Datagrams to the gone member reach the node that now uses its
 /// address.
-fn answer(fleet: &mut [Membership], number: u16, actions: Vec<MembershipAction>, now: Instant) {
+fn deliver(fleet: &mut [Membership], number: u16, actions: Vec<MembershipAction>, now: Instant) {
     for action in actions {
         let MembershipAction::Send { to, gossip } = action else {
             continue;
@@ -82,10 +86,10 @@
             .iter()
             .position(|member| member.own().gossip_address == to.to_string());
         let Some(recipient) = recipient else { continue };
-        let heard = fleet[recipient].receive(now, address(number), *gossip, &mut rng());
+        let replies = fleet[recipient].receive(now, address(number), *gossip, &mut rng());
         let recipient = fleet[recipient].own().gossip_address.clone();
         let port = recipient.parse::<SocketAddr>().expect("an address").port();
-        answer(fleet, port - address(0).port(), heard, now);
+        deliver(fleet, port - address(0).port(), replies, now);
     }
 }
 
@@ -100,12 +104,12 @@
     let settings = hemlocktack_fleet::membership::MembershipSettings::default();
     let mut fleet = vec![
         node(HELPER, start),
-        node(ASKER, start),
+        node(REQUESTER, start),
         Membership::new(settings, successor.clone(), start),
     ];
     let known = [
         record(HELPER, 1),
-        record(ASKER, 1),
+        record(REQUESTER, 1),
         record(GONE, 1),
         successor,
     ];
@@ -119,7 +123,7 @@
         for position in 0..fleet.len() {
             let actions = fleet[position].tick(now, &mut rng());
             let own: SocketAddr = fleet[position].own().gossip_address.parse().expect("one");
-            answer(&mut fleet, own.port() - address(0).port(), actions, now);
+            deliver(&mut fleet, own.port() - address(0).port(), actions, now);
         }
     }
     for member in &fleet {
--- a/crates/hemlocktack-fleet/tests/membership/malformed_datagrams.rs
+++ b/crates/hemlocktack-fleet/tests/membership/malformed_datagrams.rs
@@ -191,12 +191,12 @@
     for (start_order, incarnation, version) in cases {
         let mut membership = node(0, now);
         let before = membership.own().clone();
-        let heard = Member {
+        let received = Member {
             start_order,
             version,
             ..record(0, incarnation)
         };
-        receive_records(&mut membership, now, vec![heard]);
+        receive_records(&mut membership, now, vec![received]);
         let own = membership.own();
         assert!(own.start_order >= before.start_order, "{own:?}");
         assert!(own.version >= before.version, "{own:?}");
