--- a/crates/hemlocktack-decide/benches/decisions.rs
+++ b/crates/hemlocktack-decide/benches/decisions.rs
@@ -59,8 +59,8 @@
     bencher.bench_local(|| {
         now += Duration::from_micros(300);
         call_id += 1;
-        let verdict = admission.offer(black_box(&offer(call_id, now)), now);
-        black_box(verdict);
+        let admission_decision = admission.offer(black_box(&offer(call_id, now)), now);
+        black_box(admission_decision);
         if let Some(done) = running.pop_front() {
             admission.finish(done, RunResult::Answered, Duration::ZERO, now);
         }
--- a/crates/hemlocktack-decide/examples/scenarios/driver/callers.rs
+++ b/crates/hemlocktack-decide/examples/scenarios/driver/callers.rs
@@ -8,7 +8,7 @@
 
 use super::arena::{Call, CallEnd, CallKey, CallLocation, Request, RequestKey};
 use super::scenario::{LONG_ONE_IN, Policy};
-use super::world::{ALLOWANCE, Event, Simulation};
+use super::simulation::{ALLOWANCE, Event, Simulation};
 
 impl Simulation<'_> {
     pub(crate) fn new_request(&mut self, kind: usize, crashes_upstreams: bool) {
--- a/crates/hemlocktack-decide/examples/scenarios/driver/deployment.rs
+++ b/crates/hemlocktack-decide/examples/scenarios/driver/deployment.rs
@@ -82,12 +82,12 @@
     }
 }
 
-fn kind(name: &'static str, class_rank: u8, patience_ms: u64, share: f64, root: usize) -> Kind {
+fn kind(name: &'static str, class_rank: u8, timeout_ms: u64, share: f64, root: usize) -> Kind {
     Kind {
         name,
         class_rank,
         idempotent: class_rank > 0,
-        timeout: Duration::from_millis(patience_ms),
+        timeout: Duration::from_millis(timeout_ms),
         share,
         root,
     }
--- a/crates/hemlocktack-decide/examples/scenarios/driver/entry_side.rs
+++ b/crates/hemlocktack-decide/examples/scenarios/driver/entry_side.rs
@@ -11,7 +11,7 @@
 
 use super::arena::{Call, CallEnd, CallKey, CallLocation};
 use super::scenario::Policy;
-use super::world::{Event, Reply, Simulation};
+use super::simulation::{Event, Reply, Simulation};
 
 impl Simulation<'_> {
     /// Makes a call at its node: the first attempt.
--- a/crates/hemlocktack-decide/examples/scenarios/driver/faults.rs
+++ b/crates/hemlocktack-decide/examples/scenarios/driver/faults.rs
@@ -6,7 +6,7 @@
 use rand::RngExt;
 
 use super::scenario::Fault;
-use super::world::{Event, Simulation};
+use super::simulation::{Event, Simulation};
 
 const REPORTS_EVERY: Duration = Duration::from_millis(500);
 const CRASHING_EVERY: Duration = Duration::from_millis(500);
--- a/crates/hemlocktack-decide/examples/scenarios/driver/upstream_crash.rs
+++ b/crates/hemlocktack-decide/examples/scenarios/driver/upstream_crash.rs
@@ -6,7 +6,7 @@
 
 use super::arena::{CallEnd, CallKey};
 use super::scenario::Policy;
-use super::world::{Event, Simulation};
+use super::simulation::{Event, Simulation};
 
 impl Simulation<'_> {
     pub(super) fn crash(&mut self, node: usize) {
@@ -49,10 +49,10 @@
     /// gossip.
     fn share_quarantine_updates(&mut self, from: usize) {
         let now = self.now();
-        let news = self.nodes[from].admission.quarantine().take_updates();
+        let updates = self.nodes[from].admission.quarantine().take_updates();
         for (index, node) in self.nodes.iter_mut().enumerate() {
             if index != from {
-                for suspect in &news {
+                for suspect in &updates {
                     node.admission.quarantine().learn(*suspect, now);
                 }
             }
--- a/crates/hemlocktack-decide/examples/scenarios/driver/upstream_side.rs
+++ b/crates/hemlocktack-decide/examples/scenarios/driver/upstream_side.rs
@@ -8,7 +8,7 @@
 use super::arena::{Call, CallEnd, CallKey, CallLocation};
 use super::entry_side::refusal;
 use super::scenario::Policy;
-use super::world::{Event, Simulation};
+use super::simulation::{Event, Simulation};
 
 /// Queued calls per slot under the static policy.
 const STATIC_QUEUE_PER_SLOT: usize = 4;
--- a/crates/hemlocktack-decide/examples/scenarios/driver/upstream_work.rs
+++ b/crates/hemlocktack-decide/examples/scenarios/driver/upstream_work.rs
@@ -7,7 +7,7 @@
 
 use super::arena::{Call, CallEnd, CallKey, CallLocation};
 use super::scenario::{LONG_FACTOR, Policy};
-use super::world::{Event, Simulation};
+use super::simulation::{Event, Simulation};
 
 /// Time after which the crashing request crashes its upstream.
 const CRASHES_AFTER: Duration = Duration::from_millis(10);
--- a/crates/hemlocktack-decide/src/admission.rs
+++ b/crates/hemlocktack-decide/src/admission.rs
@@ -319,8 +319,8 @@
             service_time: self.work.expected_any(),
         };
         self.shed.end_interval(&pressure, now);
-        let is_long = self.queue.len() * 2 > self.queue_bound();
-        self.long_queue_since = is_long.then(|| self.long_queue_since.unwrap_or(now));
+        let is_queue_long = self.queue.len() * 2 > self.queue_bound();
+        self.long_queue_since = is_queue_long.then(|| self.long_queue_since.unwrap_or(now));
     }
 
     /// Returns the expected time until `calls` calls have started.
--- a/crates/hemlocktack-decide/src/admission/learn.rs
+++ b/crates/hemlocktack-decide/src/admission/learn.rs
@@ -15,7 +15,7 @@
         let own = total.saturating_sub(child_wait);
         let ratio = self.work.observe(call.kind, total, own, now);
         if self.objective_limit.is_some() {
-            self.observe_root_run(call, child_wait, now, |_, below| below);
+            self.observe_root_run(call, child_wait, now, |_, child| child);
             return;
         }
         if self.limit.observe(ratio, call.started, now) == WindowOutcome::BaselineIsStale {
@@ -36,18 +36,18 @@
         child_wait: Duration,
         now: Instant,
     ) {
-        self.observe_root_run(call, child_wait, now, |own, below| below.max(1.0 - own));
+        self.observe_root_run(call, child_wait, now, |own, child| child.max(1.0 - own));
     }
 
     /// Reports to the objective limit the shares of its objective that a root request spent on
-    /// its own work and, computed from both by `share_below`, waiting for child calls. Requests
-    /// that were retried have only part of their objective left and are ignored.
+    /// its own work and, computed from both by `counted_child_share`, waiting for child calls.
+    /// Requests that were retried have only part of their objective left and are ignored.
     fn observe_root_run(
         &mut self,
         call: &Running,
         child_wait: Duration,
         now: Instant,
-        share_below: impl Fn(f64, f64) -> f64,
+        counted_child_share: impl Fn(f64, f64) -> f64,
     ) {
         let Some(limit) = &mut self.objective_limit else {
             return;
@@ -57,9 +57,14 @@
         };
         let total = now.saturating_duration_since(call.started);
         let own = total.saturating_sub(child_wait);
-        let whole_secs = objective.as_secs_f64().max(MIN_OBJECTIVE_SECS);
-        let own_share = own.as_secs_f64() / whole_secs;
-        let below_share = (total - own).as_secs_f64() / whole_secs;
-        limit.observe(total, own_share, share_below(own_share, below_share), now);
+        let objective_secs = objective.as_secs_f64().max(MIN_OBJECTIVE_SECS);
+        let own_share = own.as_secs_f64() / objective_secs;
+        let child_share = (total - own).as_secs_f64() / objective_secs;
+        limit.observe(
+            total,
+            own_share,
+            counted_child_share(own_share, child_share),
+            now,
+        );
     }
 }
--- a/crates/hemlocktack-decide/src/admission/offered.rs
+++ b/crates/hemlocktack-decide/src/admission/offered.rs
@@ -20,25 +20,25 @@
         let class = class_of(offer.class_rank);
         let has_prior_work = offer.work_spent > Duration::ZERO;
         let ahead = self.queue.calls_ahead_of(class, has_prior_work);
-        let waiting = QueuedCall::from_offer(offer, now);
+        let queued_call = QueuedCall::from_offer(offer, now);
         let wait = self.wait_for(ahead + 1);
-        let is_long = waiting
+        let is_wait_too_long = queued_call
             .objective
             .is_some_and(|objective| wait > objective.mul_f64(self.policy.queue.max_wait_share));
-        if is_long
-            || self.has_returned_too_late(&waiting, now)
-            || self.misses_deadline(offer.kind, waiting.deadline, wait, now)
+        if is_wait_too_long
+            || self.has_returned_too_late(&queued_call, now)
+            || self.misses_deadline(offer.kind, queued_call.deadline, wait, now)
         {
             return AdmissionDecision::Refused(self.refusal_within_objective(
                 Reason::DeadlineTooShort,
-                &waiting,
+                &queued_call,
                 now,
             ));
         }
         if self.is_shed(offer, class, has_prior_work, now) {
             return AdmissionDecision::Refused(self.refusal_within_objective(
                 Reason::Shed,
-                &waiting,
+                &queued_call,
                 now,
             ));
         }
@@ -46,11 +46,11 @@
             self.hold_back_below(class, now);
             return AdmissionDecision::Refused(self.refusal_within_objective(
                 Reason::QueueFull,
-                &waiting,
+                &queued_call,
                 now,
             ));
         }
-        self.queue.push(waiting);
+        self.queue.push(queued_call);
         AdmissionDecision::Queued
     }
 
--- a/crates/hemlocktack-decide/src/admission/refuse.rs
+++ b/crates/hemlocktack-decide/src/admission/refuse.rs
@@ -88,10 +88,10 @@
         has_prior_work: bool,
         now: Instant,
     ) -> bool {
-        let below_refused = self
+        let is_held_back = self
             .hold_back
             .is_some_and(|hold_back| class > hold_back.class && now < hold_back.until);
-        if below_refused {
+        if is_held_back {
             return true;
         }
         let target_queue = f64::from(self.current_limit()) * self.policy.shed.target_queue_share;
@@ -108,9 +108,9 @@
     /// less important call that arrives just after the refusal. One interval of the shed level
     /// is enough: by then the entries hold those calls back.
     pub(super) fn hold_back_below(&mut self, class: usize, now: Instant) {
-        let held = self.hold_back.filter(|hold_back| now < hold_back.until);
+        let current = self.hold_back.filter(|hold_back| now < hold_back.until);
         self.hold_back = Some(HoldBack {
-            class: held.map_or(class, |hold_back| hold_back.class.min(class)),
+            class: current.map_or(class, |hold_back| hold_back.class.min(class)),
             until: now + self.policy.queue.hold_back_for,
         });
     }
--- a/crates/hemlocktack-decide/src/admission/waiting.rs
+++ b/crates/hemlocktack-decide/src/admission/waiting.rs
@@ -73,11 +73,12 @@
         which: impl Fn(&QueuedCall) -> bool,
         now: Instant,
     ) {
-        let mut gone = Vec::new();
-        self.queue.take_matching(&which, |call| gone.push(call));
-        self.suspects.take_matching(&which, |call| gone.push(call));
+        let mut refused = Vec::new();
+        self.queue.take_matching(&which, |call| refused.push(call));
+        self.suspects
+            .take_matching(&which, |call| refused.push(call));
         self.swept_at = now;
-        for call in gone {
+        for call in refused {
             let refusal = self.refusal(reason, call.call_id);
             self.refusals
                 .push(QueueDecision::Refuse(call.call_id, refusal));
--- a/crates/hemlocktack-decide/src/edge_budget.rs
+++ b/crates/hemlocktack-decide/src/edge_budget.rs
@@ -62,9 +62,9 @@
     ) -> Self {
         let span = 1.0 / class_count.max(1) as f64;
         let begin = f64::from(class_rank) * span;
-        let place = (mix(root_request_id) >> 11) as f64 / (1_u64 << 53) as f64;
+        let position = (mix(root_request_id) >> 11) as f64 / (1_u64 << 53) as f64;
         let width = if is_root { span * ROOT_CALL_SPAN } else { span };
-        RetryPriority((begin + place * width).min(1.0))
+        RetryPriority((begin + position * width).min(1.0))
     }
 }
 
@@ -78,22 +78,22 @@
 /// share unused in a fault of a few seconds.
 #[derive(Debug)]
 pub struct EdgeRetryBudget {
-    began: Instant,
+    started_at: Instant,
     share_per_mille: AtomicU32,
     min_retries: AtomicU32,
-    first_attempts: CountByTick,
-    retries: CountByTick,
+    first_attempts: TickCounter,
+    retries: TickCounter,
 }
 
 impl EdgeRetryBudget {
     /// Creates a budget without any attempts recorded.
     pub fn new(policy: RetryPolicy, now: Instant) -> Self {
         EdgeRetryBudget {
-            began: now,
+            started_at: now,
             share_per_mille: AtomicU32::new(policy.share_per_mille),
             min_retries: AtomicU32::new(policy.min_retries),
-            first_attempts: CountByTick::default(),
-            retries: CountByTick::default(),
+            first_attempts: TickCounter::default(),
+            retries: TickCounter::default(),
         }
     }
 
@@ -158,7 +158,7 @@
 
     /// Ticks start at 1, since 0 marks an unused counter.
     fn tick(&self, now: Instant) -> u64 {
-        let since = now.saturating_duration_since(self.began);
+        let since = now.saturating_duration_since(self.started_at);
         (since.as_millis() / TICK.as_millis()) as u64 + 1
     }
 }
@@ -166,22 +166,22 @@
 /// Event counts of the last ticks. Each counter holds its tick in the high half and the count in
 /// the low half.
 #[derive(Debug)]
-struct CountByTick {
+struct TickCounter {
     counts: [AtomicU64; STORED_TICKS],
 }
 
 const NUMBER_BITS: u32 = 32;
 const NUMBER_MASK: u64 = (1 << NUMBER_BITS) - 1;
 
-impl Default for CountByTick {
+impl Default for TickCounter {
     fn default() -> Self {
-        CountByTick {
+        TickCounter {
             counts: std::array::from_fn(|_| AtomicU64::new(0)),
         }
     }
 }
 
-impl CountByTick {
+impl TickCounter {
     fn add(&self, tick: u64) {
         let count = &self.counts[tick as usize % STORED_TICKS];
         let add = |held: u64| {
--- a/crates/hemlocktack-decide/src/limit.rs
+++ b/crates/hemlocktack-decide/src/limit.rs
@@ -331,8 +331,8 @@
     }
 
     fn change(&mut self, limit: f64, now: Instant) {
-        let least = (self.slots * self.policy.min_share).max(1.0);
-        self.limit = limit.max(least).min(self.connections);
+        let min_limit = (self.slots * self.policy.min_share).max(1.0);
+        self.limit = limit.max(min_limit).min(self.connections);
         self.changed_at = now;
         self.ratio_sum = 0.0;
         self.samples = 0;
--- a/crates/hemlocktack-decide/src/link_monitor.rs
+++ b/crates/hemlocktack-decide/src/link_monitor.rs
@@ -64,15 +64,15 @@
         }
     }
 
-    /// Returns the next action. Call it when the time returned last has passed. `heard` is the
-    /// time of the last data received on the link or the time at which the call was sent,
+    /// Returns the next action. Call it when the time returned last has passed. `last_received`
+    /// is the time of the last data received on the link or the time at which the call was sent,
     /// whichever is later.
-    pub fn check(&mut self, heard: Instant, now: Instant) -> LinkAction {
+    pub fn check(&mut self, last_received: Instant, now: Instant) -> LinkAction {
         let Some(echo_requested_at) = self
             .echo_requested_at
-            .filter(|echo_requested_at| heard <= *echo_requested_at)
+            .filter(|echo_requested_at| last_received <= *echo_requested_at)
         else {
-            return self.check_silence(heard, now);
+            return self.check_silence(last_received, now);
         };
         let until = echo_requested_at + self.policy.echo_timeout;
         if now < until {
@@ -84,10 +84,10 @@
         LinkAction::Lost
     }
 
-    fn check_silence(&mut self, heard: Instant, now: Instant) -> LinkAction {
+    fn check_silence(&mut self, last_received: Instant, now: Instant) -> LinkAction {
         self.echo_requested_at = None;
         self.seemed_lost = false;
-        let until = heard + self.policy.echo_after;
+        let until = last_received + self.policy.echo_after;
         if now < until {
             return LinkAction::Wait(until);
         }
--- a/crates/hemlocktack-decide/src/objective_limit.rs
+++ b/crates/hemlocktack-decide/src/objective_limit.rs
@@ -178,8 +178,8 @@
     fn end_window(&mut self, now: Instant) {
         let samples = f64::from(self.samples);
         let (own, child) = (self.own_sum / samples, self.child_sum / samples);
-        let least = (self.slots * self.policy.min_share).max(1.0);
-        if !self.is_saturated || self.limit <= least * NEAR_MIN_FACTOR {
+        let min_limit = (self.slots * self.policy.min_share).max(1.0);
+        if !self.is_saturated || self.limit <= min_limit * NEAR_MIN_FACTOR {
             self.update_unloaded_run(own + child);
         }
         let running = (self.max_running as f64).min(self.limit);
@@ -194,7 +194,7 @@
         } else {
             self.limit
         };
-        let limit = limit.max(least).min(self.slots);
+        let limit = limit.max(min_limit).min(self.slots);
         self.measured_from = now;
         if limit != self.limit {
             self.measured_from += Duration::from_secs_f64(self.run_secs_sum / samples);
--- a/crates/hemlocktack-decide/src/peer_load.rs
+++ b/crates/hemlocktack-decide/src/peer_load.rs
@@ -138,8 +138,8 @@
         self.call_ended_without_hint();
         self.record_outcome(true, now);
         // Calls that fail together count as one attempt.
-        let is_known = self.micros(now) < self.avoided_until_us.load(Ordering::Acquire);
-        if !is_known {
+        let is_already_avoided = self.micros(now) < self.avoided_until_us.load(Ordering::Acquire);
+        if !is_already_avoided {
             let before = self.consecutive_failures.fetch_add(1, Ordering::AcqRel);
             let doubled = AVOID_AFTER_FAULT.saturating_mul(1 << before.min(8));
             self.avoid(doubled.min(MAX_AVOID_TIME), now);
@@ -265,11 +265,11 @@
     pub(crate) fn utilisation(&self, policy: &PlacementPolicy, now: Instant) -> f64 {
         let mark_heard = self.age(self.last_hint_us.load(Ordering::Acquire), now);
         let freshness = mark_heard.map_or(0.0, |age| 1.0 - share_of(age, policy.hint_lifetime));
-        let said = f64::from(self.load.load(Ordering::Acquire)) * freshness;
-        let since = f64::from(self.sent_since_hint.load(Ordering::Acquire));
+        let reported = f64::from(self.load.load(Ordering::Acquire)) * freshness;
+        let sent_since = f64::from(self.sent_since_hint.load(Ordering::Acquire));
         let own = f64::from(self.outstanding.load(Ordering::Acquire));
         let limit = f64::from(self.limit.load(Ordering::Acquire)).max(1.0);
-        (said + since).max(own) / limit
+        (reported + sent_since).max(own) / limit
     }
 
     /// Returns the expected time to an answer, in seconds.
@@ -281,9 +281,9 @@
             service_us as f64 / 1e6
         };
         let utilisation = self.utilisation(policy, now);
-        let waits = (utilisation - 1.0).max(0.0);
+        let excess = (utilisation - 1.0).max(0.0);
         // Below the limit no call waits; the small utilisation term distributes calls evenly.
-        let mut cost = service * (1.0 + waits + 0.3 * utilisation.min(1.0));
+        let mut cost = service * (1.0 + excess + 0.3 * utilisation.min(1.0));
         if !self.is_local {
             cost += policy.remote_cost.as_secs_f64();
         }
--- a/crates/hemlocktack-decide/src/placement.rs
+++ b/crates/hemlocktack-decide/src/placement.rs
@@ -21,7 +21,7 @@
     /// answer is below this share of the objective of the whole request: a request makes up to
     /// ten calls in sequence, and its caller gains nothing from saving a few milliseconds on
     /// each.
-    pub near_objective_share: f64,
+    pub local_objective_share: f64,
     /// Load below which a local upstream is preferred whatever its recorded latency and
     /// failures: one that was slow or suspended would otherwise get no calls to show that it has
     /// recovered.
@@ -49,7 +49,7 @@
         PlacementPolicy {
             spill_over_load: 0.8,
             remote_speedup: 1.3,
-            near_objective_share: 0.1,
+            local_objective_share: 0.1,
             probe_load_below: 0.2,
             probe_failure_share_below: 0.25,
             remote_cost: Duration::from_millis(2),
@@ -87,25 +87,27 @@
         available(index, peer) && peer.utilisation(policy, now) < policy.spill_over_load
     };
     let cost = |index: usize| peers[index].as_ref().cost(policy, now);
-    let is_fast_enough = |near: usize| {
+    let is_fast_enough = |local: usize| {
         objective
-            .is_some_and(|within| cost(near) < within.as_secs_f64() * policy.near_objective_share)
+            .is_some_and(|within| cost(local) < within.as_secs_f64() * policy.local_objective_share)
     };
-    let is_due_for_probe = |near: usize| {
-        let near = peers[near].as_ref();
-        near.utilisation(policy, now) < policy.probe_load_below
-            && near.failure_share(now) < policy.probe_failure_share_below
+    let is_due_for_probe = |local: usize| {
+        let local = peers[local].as_ref();
+        local.utilisation(policy, now) < policy.probe_load_below
+            && local.failure_share(now) < policy.probe_failure_share_below
     };
-    let goes_first = |near: usize, far: usize| {
-        is_due_for_probe(near)
-            || is_fast_enough(near)
-            || cost(far) * policy.remote_speedup >= cost(near)
+    let prefers_local = |local: usize, remote: usize| {
+        is_due_for_probe(local)
+            || is_fast_enough(local)
+            || cost(remote) * policy.remote_speedup >= cost(local)
     };
     let mut choose_nearest = |eligible: &dyn Fn(usize, &PeerLoad) -> bool| {
         let is_local = |index: usize, peer: &PeerLoad| peer.is_local && eligible(index, peer);
-        let near = better_of_two(peers, is_local, now, policy, rng);
+        let local = better_of_two(peers, is_local, now, policy, rng);
         let any = better_of_two(peers, eligible, now, policy, rng)?;
-        near.filter(|near| goes_first(*near, any)).or(Some(any))
+        local
+            .filter(|local| prefers_local(*local, any))
+            .or(Some(any))
     };
     choose_nearest(&has_room)
         .or_else(|| choose_nearest(&available))
--- a/crates/hemlocktack-decide/src/retry.rs
+++ b/crates/hemlocktack-decide/src/retry.rs
@@ -208,8 +208,8 @@
 /// Returns the outcome reported to the caller of a call that was sent several times.
 ///
 /// When a retry after an unknown outcome is refused, reporting "not run" would be wrong: the
-/// first send may have run, and the caller would repeat it as if nothing had happened. An unknown outcome therefore
-/// stays unknown unless a later send is answered.
+/// first send may have run, and the caller would repeat it as if nothing had happened. An
+/// unknown outcome therefore stays unknown unless a later send is answered.
 pub fn combined_outcome(earlier: Option<CallFailure>, last: CallFailure) -> CallFailure {
     match earlier {
         Some(CallFailure::Unknown(reason)) => CallFailure::Unknown(reason),
--- a/crates/hemlocktack-decide/src/sends.rs
+++ b/crates/hemlocktack-decide/src/sends.rs
@@ -46,8 +46,8 @@
 }
 
 impl From<RetryDecision> for NextStep {
-    fn from(verdict: RetryDecision) -> NextStep {
-        match verdict {
+    fn from(decision: RetryDecision) -> NextStep {
+        match decision {
             RetryDecision::Retry => NextStep::Retried,
             RetryDecision::PassUp => NextStep::PassedUp,
             RetryDecision::TooLate => NextStep::TooLate,
--- a/crates/hemlocktack-decide/src/shed/chain_edges.rs
+++ b/crates/hemlocktack-decide/src/shed/chain_edges.rs
@@ -30,13 +30,13 @@
 
 impl ChainEdges {
     /// Records that a call of `kind` was answered after making child calls of these kinds.
-    pub fn record_answer(&mut self, kind: WorkKind, deeper: &[WorkKind]) {
+    pub fn record_answer(&mut self, kind: WorkKind, child_kinds: &[WorkKind]) {
         let of_kind = |edge: &Edge| edge.caller == kind;
         for (edge, share) in self.shares.iter_mut().filter(|(edge, _)| of_kind(edge)) {
-            let needed = f64::from(u8::from(deeper.contains(&edge.callee)));
+            let needed = f64::from(u8::from(child_kinds.contains(&edge.callee)));
             *share += (needed - *share) * SAMPLE_WEIGHT;
         }
-        for &callee in deeper {
+        for &callee in child_kinds {
             let edge = Edge {
                 caller: kind,
                 callee,
--- a/crates/hemlocktack-decide/src/shed/controller.rs
+++ b/crates/hemlocktack-decide/src/shed/controller.rs
@@ -218,12 +218,12 @@
         let target_queue = limit * self.policy.target_queue_share;
         let drain_secs = pressure.service_time.as_secs_f64() * self.policy.drain_service_times;
         // A level that admits nothing cannot grow by a factor.
-        let most =
+        let max_rate =
             (admitted * self.policy.max_step_factor).max(capacity * self.policy.min_rise_share);
         self.level_for(|class| {
             let surplus = pressure.cumulative_queued[class] as f64 - target_queue;
             (capacity - surplus / drain_secs)
-                .min(most)
+                .min(max_rate)
                 .max(admitted * self.policy.min_step_factor)
         })
     }
--- a/crates/hemlocktack-decide/src/shed/entry.rs
+++ b/crates/hemlocktack-decide/src/shed/entry.rs
@@ -87,15 +87,15 @@
             .upstreams
             .iter()
             .flatten()
-            .filter(|heard| self.is_fresh(heard, now))
-            .map(|heard| heard.level)
+            .filter(|entry| self.is_fresh(entry, now))
+            .map(|entry| entry.level)
             .max()
             .unwrap_or(ShedLevel::OPEN);
         let chain = self
             .chains
             .get(&kind)
-            .filter(|heard| self.is_fresh(heard, now))
-            .map_or(ShedLevel::OPEN, |heard| heard.level);
+            .filter(|entry| self.is_fresh(entry, now))
+            .map_or(ShedLevel::OPEN, |entry| entry.level);
         own.min(chain)
     }
 
@@ -132,14 +132,14 @@
             .upstreams
             .iter()
             .flatten()
-            .all(|heard| now.saturating_duration_since(heard.at) >= self.policy.probe_interval);
+            .all(|entry| now.saturating_duration_since(entry.at) >= self.policy.probe_interval);
         if due && silent {
             self.probed_at = Some(now);
         }
         due && silent
     }
 
-    fn is_fresh(&self, heard: &ReportedLevel, now: Instant) -> bool {
-        now.saturating_duration_since(heard.at) < self.policy.expires_after
+    fn is_fresh(&self, entry: &ReportedLevel, now: Instant) -> bool {
+        now.saturating_duration_since(entry.at) < self.policy.expires_after
     }
 }
