--- a/crates/hemlocktack-config/src/bounds.rs
+++ b/crates/hemlocktack-config/src/bounds.rs
@@ -58,8 +58,8 @@
 /// Retries to one service, as a percentage of first attempts. A higher share sustains an overload
 /// after its cause is gone.
 pub(crate) const RETRY_SHARE_PERCENT: Bound = optional("retry_share_percent", 10, 0, 100);
-/// With a threshold of one crash, calls that merely ran beside the faulty one would be quarantined
-/// too.
+/// With a threshold of one crash, calls that merely ran at the same time as the faulty one would be
+/// quarantined too.
 pub(crate) const QUARANTINE_CRASHES: Bound = optional("quarantine_crashes", 2, 2, 100);
 pub(crate) const QUARANTINE_MS: Bound = optional("quarantine_ms", 300_000, 1_000, HOUR_MS);
 
--- a/crates/hemlocktack-telemetry/src/event.rs
+++ b/crates/hemlocktack-telemetry/src/event.rs
@@ -84,7 +84,7 @@
     603 INFO HandoverTaken: "this node has taken over another node's tickets and is now their home", "nothing";
     604 WARN HandoverRefused: "the tickets of a stopping node were refused: too many, malformed, or this node is stopping itself", "nothing unless 602 follows on the stopping node";
 
-    701 WARN SheddingBegun: "the upstream's queue does not shrink, and requests of the last class are refused", "check status; add upstreams if it lasts";
+    701 WARN SheddingBegun: "the upstream has a standing queue, and requests of the last class are refused", "check status; add upstreams if it lasts";
     702 INFO SheddingEnded: "no request is refused because of load any more", "nothing";
 
     703 INFO CallsWait: "calls are waiting for the upstream", "nothing unless it lasts: compare in_flight with limit, and service_time_us with that of other nodes";
