--- a/crates/hemlocktack-node/src/callers/routes.rs
+++ b/crates/hemlocktack-node/src/callers/routes.rs
@@ -16,7 +16,7 @@
 use crate::node::Node;
 use crate::refused_body::discard_with_timeout;
 
-/// Bytes of a refused body that are read and discarded.
+/// Most bytes of a refused body that are read and discarded.
 const MAX_DISCARDED_BYTES: usize = 64 << 20;
 const METHODS: [Method; 7] = [
     Method::Get,
--- a/crates/hemlocktack-node/src/calls/home.rs
+++ b/crates/hemlocktack-node/src/calls/home.rs
@@ -116,7 +116,7 @@
         answer = delegate_to(&node, &call, nonce, &view.peers[index], deadline).await;
         excluded = Some(index);
     }
-    node.home.end(nonce, answer);
+    node.home.record_outcome(nonce, answer);
 }
 
 fn own_index(node: &Node, view: &ServiceView) -> Option<usize> {
--- a/crates/hemlocktack-node/src/calls/home_table.rs
+++ b/crates/hemlocktack-node/src/calls/home_table.rs
@@ -88,7 +88,7 @@
     }
 
     /// Records the final outcome of a ticket and notifies every task that waits for it.
-    pub(super) fn end(&self, nonce: Nonce, answer: Answer) {
+    pub(super) fn record_outcome(&self, nonce: Nonce, answer: Answer) {
         let mut answer = Arc::new(answer);
         let mut outcome_senders = self.outcome_senders();
         let recorded = match answer.outcome() {
--- a/crates/hemlocktack-node/src/calls/run.rs
+++ b/crates/hemlocktack-node/src/calls/run.rs
@@ -131,7 +131,7 @@
     };
     let deadline = running.deadline;
     let context = node.contexts.open(running, &call.request_id);
-    let end = node
+    let outcome = node
         .upstream_client
         .send(UpstreamRequest {
             announcement: &announcement,
@@ -141,23 +141,23 @@
             answer_limit_bytes: node.answer_limit_bytes(),
         })
         .await;
-    if matches!(end, UpstreamOutcome::Unknown(Reason::UpstreamFailed))
+    if matches!(outcome, UpstreamOutcome::Unknown(Reason::UpstreamFailed))
         && !is_alive(announcement.address).await
     {
         record_crash(node);
     }
     let running = &context.running;
-    let end = corrected_outcome(end, running);
-    let run_result = run_result(&end, running);
+    let outcome = corrected_outcome(outcome, running);
+    let run_result = run_result(&outcome, running);
     admitted.finish(run_result, running.child_wait());
-    if matches!(end, UpstreamOutcome::Answered { .. }) {
+    if matches!(outcome, UpstreamOutcome::Answered { .. }) {
         node.record_chain_edges(kind, &running.child_kinds());
     }
     let answer = Answer {
         retries_unspent: running.allowance.left(),
         work_spent_us: running.work_spent_us(Instant::now()),
         lacked_room_below: run_result == RunResult::ChildLackedCapacity,
-        ..into_answer(end)
+        ..into_answer(outcome)
     };
     (answer, running.child_wait())
 }
@@ -189,12 +189,12 @@
 /// as a booking, ran. With `not_run` and a fresh ticket the caller would book twice. A call that
 /// made a child call has started, which is all that this node can see, so the outcome is
 /// `unknown`.
-fn corrected_outcome(end: UpstreamOutcome, running: &RunningCall) -> UpstreamOutcome {
-    match end {
+fn corrected_outcome(outcome: UpstreamOutcome, running: &RunningCall) -> UpstreamOutcome {
+    match outcome {
         UpstreamOutcome::NotRun(Reason::UpstreamShed) if running.has_child_calls() => {
             UpstreamOutcome::Unknown(Reason::UpstreamFailed)
         }
-        end => end,
+        outcome => outcome,
     }
 }
 
@@ -225,8 +225,8 @@
     matches!(connected, Ok(Ok(_)))
 }
 
-fn run_result(end: &UpstreamOutcome, running: &RunningCall) -> RunResult {
-    match end {
+fn run_result(outcome: &UpstreamOutcome, running: &RunningCall) -> RunResult {
+    match outcome {
         UpstreamOutcome::Answered { status, .. }
             if *status >= MIN_SERVER_ERROR_STATUS && running.child_lacked_capacity() =>
         {
@@ -241,8 +241,8 @@
     }
 }
 
-fn into_answer(end: UpstreamOutcome) -> Answer {
-    match end {
+fn into_answer(outcome: UpstreamOutcome) -> Answer {
+    match outcome {
         UpstreamOutcome::Answered {
             status,
             headers,
--- a/crates/hemlocktack-node/src/links/incoming.rs
+++ b/crates/hemlocktack-node/src/links/incoming.rs
@@ -22,7 +22,7 @@
 
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Accepts links until the listener fails for good or the node stops.
+/// Accepts links; if accepting fails, retries after a pause.
 pub(crate) async fn serve_links(node: Arc<Node>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
--- a/crates/hemlocktack-node/src/links/tests.rs
+++ b/crates/hemlocktack-node/src/links/tests.rs
@@ -15,7 +15,7 @@
 
 const ROUNDS: u64 = 100_000;
 
-/// An open connection; the far end lives as long as the stream beside it.
+/// Returns an open connection and its peer's stream, which keeps it open.
 async fn connection() -> (Connection, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let near = TcpStream::connect(listener.local_addr().unwrap()).await;
