--- a/crates/hemlocktack-node/examples/common/mod.rs
+++ b/crates/hemlocktack-node/examples/common/mod.rs
@@ -5,7 +5,7 @@
 
 use hemlocktack_protocol::{ApplyConfigurationRequest, ApplyConfigurationResponse};
 use hemlocktack_testkit::platform::{self, Platform};
-use hemlocktack_testkit::upstream::{self, DeeperCall, Settings, Upstream};
+use hemlocktack_testkit::upstream::{self, ChildCall, Settings, Upstream};
 use prost::Message;
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
@@ -196,10 +196,10 @@
     settings.connections = member.slots * 8;
     settings.switches.service_time_ms = member.service_time_ms;
     if let Some(deeper) = member.deeper {
-        let call: DeeperCall = deeper
+        let call: ChildCall = deeper
             .parse()
             .map_err(|error| format!("{deeper}: {error}"))?;
-        settings.deeper.push(call);
+        settings.child_calls.push(call);
     }
     Ok(upstream::spawn(settings).await?)
 }
--- a/crates/hemlocktack-node/tests/decoders/link_frames.rs
+++ b/crates/hemlocktack-node/tests/decoders/link_frames.rs
@@ -5,7 +5,7 @@
     Answer, Call, CallResolution, CancelCall, Challenge, ConfigurationDocument, ConfigurationPull,
     Frame, Handover, HandoverEntry, Header, Hello, LoadHint, NodeStatus, Proof, ResolveCall, frame,
 };
-use hemlocktack_testkit::nearly_right::cases;
+use hemlocktack_testkit::mutated_json::fixed_seed_config;
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::sample::{Index, select};
@@ -222,7 +222,7 @@
 }
 
 proptest! {
-    #![proptest_config(cases(27))]
+    #![proptest_config(fixed_seed_config(27))]
 
     /// Frames that nothing was done to come out as they went in, whatever the
     /// pieces they come in.
--- a/crates/hemlocktack-node/tests/decoders/settings_texts.rs
+++ b/crates/hemlocktack-node/tests/decoders/settings_texts.rs
@@ -4,7 +4,7 @@
 use std::io::Write;
 use std::path::Path;
 
-use hemlocktack_testkit::nearly_right::cases;
+use hemlocktack_testkit::mutated_json::fixed_seed_config;
 use proptest::collection::{btree_map, vec};
 use proptest::prelude::*;
 use proptest::sample::{Index, select};
@@ -141,7 +141,7 @@
 }
 
 proptest! {
-    #![proptest_config(cases(27))]
+    #![proptest_config(fixed_seed_config(27))]
 
     /// A variable or a flag that cannot be used ends the start with what is wrong,
     /// and not a running node an hour later.
--- a/crates/hemlocktack-platform/tests/nearly_right.rs
+++ b/crates/hemlocktack-platform/tests/nearly_right.rs
@@ -6,7 +6,7 @@
 
 use hemlocktack_platform::{NATIVE_CODEC, Object, StoreError};
 use hemlocktack_protocol::Member;
-use hemlocktack_testkit::nearly_right::{cases, nearly};
+use hemlocktack_testkit::mutated_json::{fixed_seed_config, mutated};
 use proptest::prelude::*;
 use reqwest::StatusCode;
 use serde_json::{Value, json};
@@ -81,15 +81,15 @@
 }
 
 proptest! {
-    #![proptest_config(cases(27))]
+    #![proptest_config(fixed_seed_config(27))]
 
     /// Guards against a decoder that panics on unforeseen contents, such as objects written by hand
     /// or by another version of the store: a node that crashes takes its upstream out of service.
     #[test]
     fn objects_of_the_store_are_decoded_or_rejected(
-        one in nearly(configuration), record in nearly(node_record),
-        page in nearly(listing), events in nearly(watched),
-        short in nearly(written), refused in nearly(refusal), status in 100_u16..1000,
+        one in mutated(configuration), record in mutated(node_record),
+        page in mutated(listing), events in mutated(watched),
+        short in mutated(written), refused in mutated(refusal), status in 100_u16..1000,
     ) {
         for body in [&one, &record] {
             if let Ok(object) = (NATIVE_CODEC.read_object)("", body) {
--- a/crates/hemlocktack-testkit/examples/upstream.rs
+++ b/crates/hemlocktack-testkit/examples/upstream.rs
@@ -74,7 +74,7 @@
     switches.cold_ms = value(matches, "cold-ms")?.unwrap_or(switches.cold_ms);
     for text in matches.opt_strs("deeper") {
         let call = text.parse().map_err(|error| format!("--deeper: {error}"))?;
-        settings.deeper.push(call);
+        settings.child_calls.push(call);
     }
     Ok(settings)
 }
--- a/crates/hemlocktack-testkit/src/lib.rs
+++ b/crates/hemlocktack-testkit/src/lib.rs
@@ -4,7 +4,7 @@
 mod addresses;
 mod datagram_relay;
 mod http;
-pub mod nearly_right;
+pub mod mutated_json;
 pub mod platform;
 mod relay;
 mod server;
@@ -12,5 +12,5 @@
 
 pub use addresses::next_address;
 pub use datagram_relay::{DatagramRelay, Loss};
-pub use relay::{Held, Passage, Relay};
+pub use relay::{HeldDirection, Relay, RelayMode};
 pub use server::{Error, Result};
--- a/crates/hemlocktack-testkit/src/nearly_right.rs
+++ b/crates/hemlocktack-testkit/src/mutated_json.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 
 /// The same cases in each run, as many as `PROPTEST_CASES` says, or else 256.
-pub fn cases(seed: u64) -> ProptestConfig {
+pub fn fixed_seed_config(seed: u64) -> ProptestConfig {
     ProptestConfig {
         rng_seed: RngSeed::Fixed(seed),
         failure_persistence: None,
@@ -35,7 +35,7 @@
 
 /// A message with some of its values replaced or gone; its text seldom has a byte
 /// changed or its end cut off, as most readers look no further then.
-pub fn nearly(message: fn() -> Value) -> impl Strategy<Value = Vec<u8>> {
+pub fn mutated(message: fn() -> Value) -> impl Strategy<Value = Vec<u8>> {
     let values = vec((any::<Index>(), proptest::option::of(odd_value())), 1..4);
     let byte = proptest::option::weighted(0.1, (any::<Index>(), any::<u8>()));
     let cut = proptest::option::weighted(0.1, any::<Index>());
--- a/crates/hemlocktack-testkit/src/relay.rs
+++ b/crates/hemlocktack-testkit/src/relay.rs
@@ -18,7 +18,7 @@
 
 /// What becomes of bytes on their way.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Passage {
+pub enum RelayMode {
     /// They go through at once.
     #[default]
     Open,
@@ -26,21 +26,21 @@
     Delayed(Duration),
     /// Towards the target, so many pieces of a hundred go through so much later, as
     /// those that a path loses: what newer connections carry overtakes them.
-    LateByChance {
+    RandomDelay {
         /// Pieces of a hundred.
         percent: u32,
         /// How much later.
         by: Duration,
     },
     /// They wait, in these directions, until the passage changes.
-    Held(Held),
+    Held(HeldDirection),
     /// Connections are cut, and new ones closed as soon as they are accepted.
     Refused,
 }
 
 /// Directions in which bytes wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Held {
+pub enum HeldDirection {
     /// From who connected to the target.
     TowardsTarget,
     /// From the target back.
@@ -55,31 +55,31 @@
     TowardsCaller,
 }
 
-impl Passage {
+impl RelayMode {
     fn holds(self, direction: Direction) -> bool {
         match self {
-            Passage::Held(Held::BothWays) => true,
-            Passage::Held(Held::TowardsTarget) => direction == Direction::TowardsTarget,
-            Passage::Held(Held::TowardsCaller) => direction == Direction::TowardsCaller,
-            Passage::Open
-            | Passage::Delayed(_)
-            | Passage::LateByChance { .. }
-            | Passage::Refused => false,
+            RelayMode::Held(HeldDirection::BothWays) => true,
+            RelayMode::Held(HeldDirection::TowardsTarget) => direction == Direction::TowardsTarget,
+            RelayMode::Held(HeldDirection::TowardsCaller) => direction == Direction::TowardsCaller,
+            RelayMode::Open
+            | RelayMode::Delayed(_)
+            | RelayMode::RandomDelay { .. }
+            | RelayMode::Refused => false,
         }
     }
 
     /// How much later a piece goes through.
     fn delay(self, direction: Direction) -> Duration {
         match self {
-            Passage::Delayed(time) => time,
-            Passage::LateByChance { percent, by } => {
+            RelayMode::Delayed(time) => time,
+            RelayMode::RandomDelay { percent, by } => {
                 let is_late = rand::rng().random_range(0..100) < percent;
                 match is_late && direction == Direction::TowardsTarget {
                     true => by,
                     false => Duration::ZERO,
                 }
             }
-            Passage::Open | Passage::Held(_) | Passage::Refused => Duration::ZERO,
+            RelayMode::Open | RelayMode::Held(_) | RelayMode::Refused => Duration::ZERO,
         }
     }
 }
@@ -88,7 +88,7 @@
 pub struct Relay {
     /// Address to connect to.
     pub address: SocketAddr,
-    passage: Arc<watch::Sender<Passage>>,
+    passage: Arc<watch::Sender<RelayMode>>,
     /// Connections opened before this number end or stay silent.
     present: Arc<watch::Sender<Present>>,
     accepted: Arc<AtomicU64>,
@@ -110,7 +110,7 @@
     pub async fn spawn(address: SocketAddr, target: SocketAddr) -> Result<Relay> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
-        let passage = Arc::new(watch::Sender::new(Passage::Open));
+        let passage = Arc::new(watch::Sender::new(RelayMode::Open));
         let present = Arc::new(watch::Sender::new(Present::default()));
         let accepted = Arc::new(AtomicU64::new(0));
         let accepting = Accepting {
@@ -129,22 +129,22 @@
     }
 
     /// Changes what becomes of bytes, on present and on new connections.
-    pub fn set(&self, passage: Passage) {
+    pub fn set(&self, passage: RelayMode) {
         self.passage.send_replace(passage);
     }
 
     /// Cuts every connection; new ones are closed as soon as they are accepted.
     pub fn cut(&self) {
-        self.set(Passage::Refused);
+        self.set(RelayMode::Refused);
     }
 
     /// Lets new connections through again.
     pub fn restore(&self) {
-        self.set(Passage::Open);
+        self.set(RelayMode::Open);
     }
 
     /// Ends the present connections; new ones go through.
-    pub fn cut_present(&self) {
+    pub fn cut_existing(&self) {
         let next = self.accepted_count();
         self.present
             .send_modify(|present| present.cut_before = next);
@@ -152,7 +152,7 @@
 
     /// The present connections stay open and never carry another byte; new
     /// ones go through.
-    pub fn silence_present(&self) {
+    pub fn silence_existing(&self) {
         let next = self.accepted_count();
         self.present
             .send_modify(|present| present.silent_before = next);
@@ -173,7 +173,7 @@
 
 struct Accepting {
     target: SocketAddr,
-    passage: Arc<watch::Sender<Passage>>,
+    passage: Arc<watch::Sender<RelayMode>>,
     present: Arc<watch::Sender<Present>>,
     accepted: Arc<AtomicU64>,
 }
@@ -187,7 +187,7 @@
                 passage: self.passage.subscribe(),
                 present: self.present.subscribe(),
             };
-            if *self.passage.borrow() != Passage::Refused {
+            if *self.passage.borrow() != RelayMode::Refused {
                 tokio::spawn(pass(near, self.target, passing));
             }
         }
@@ -198,7 +198,7 @@
 #[derive(Clone)]
 struct Passing {
     number: u64,
-    passage: watch::Receiver<Passage>,
+    passage: watch::Receiver<RelayMode>,
     present: watch::Receiver<Present>,
 }
 
@@ -258,7 +258,7 @@
         let number = self.number;
         let refused = self
             .passage
-            .wait_for(|passage| *passage == Passage::Refused);
+            .wait_for(|passage| *passage == RelayMode::Refused);
         let cut = self.present.wait_for(|present| number < present.cut_before);
         tokio::select! {
             _ = refused => {}
@@ -273,7 +273,7 @@
             return std::future::pending().await;
         }
         let opened = self.passage.wait_for(|passage| !passage.holds(direction));
-        let passage = opened.await.map_or(Passage::Open, |passage| *passage);
+        let passage = opened.await.map_or(RelayMode::Open, |passage| *passage);
         let delay = passage.delay(direction);
         if !delay.is_zero() {
             tokio::time::sleep(delay).await;
--- a/crates/hemlocktack-testkit/src/upstream/deeper.rs
+++ b/crates/hemlocktack-testkit/src/upstream/child_calls.rs
@@ -4,7 +4,7 @@
 use serde_json::Value;
 
 use crate::upstream::work::Call;
-use crate::upstream::{DeeperCall, Shared};
+use crate::upstream::{ChildCall, Shared};
 
 const CONTEXT_HEADER: &str = "hemlocktack-context";
 const OUTCOME_HEADER: &str = "hemlocktack-outcome";
@@ -12,7 +12,7 @@
 
 /// What became of a deeper call, as it goes into the answer.
 #[derive(Debug, Serialize)]
-pub(crate) struct DeeperAnswer {
+pub(crate) struct ChildAnswer {
     pub(crate) call: String,
     pub(crate) status: u16,
     pub(crate) outcome: String,
@@ -20,17 +20,17 @@
     pub(crate) body: Value,
 }
 
-impl DeeperAnswer {
+impl ChildAnswer {
     pub(crate) fn succeeded(&self) -> bool {
         self.outcome == "answered" && (200..300).contains(&self.status)
     }
 }
 
 /// Makes them in order; the first that fails is the last.
-pub(crate) async fn call_deeper(shared: &Shared, call: &Call) -> Vec<DeeperAnswer> {
+pub(crate) async fn make_child_calls(shared: &Shared, call: &Call) -> Vec<ChildAnswer> {
     let mut answers = Vec::new();
-    for (index, deeper) in shared.settings.deeper.iter().enumerate() {
-        let answer = send(shared, call, deeper, index).await;
+    for (index, child_call) in shared.settings.child_calls.iter().enumerate() {
+        let answer = send(shared, call, child_call, index).await;
         let succeeded = answer.succeeded();
         answers.push(answer);
         if !succeeded {
@@ -40,9 +40,9 @@
     answers
 }
 
-async fn send(shared: &Shared, call: &Call, deeper: &DeeperCall, index: usize) -> DeeperAnswer {
-    let mut answer = DeeperAnswer {
-        call: deeper.to_string(),
+async fn send(shared: &Shared, call: &Call, child_call: &ChildCall, index: usize) -> ChildAnswer {
+    let mut answer = ChildAnswer {
+        call: child_call.to_string(),
         status: 0,
         outcome: "unknown".to_owned(),
         reason: "no-answer".to_owned(),
@@ -54,8 +54,8 @@
     let mut request = shared
         .http
         .request(
-            deeper.method.clone(),
-            format!("http://{node_callers}/{}", deeper.path),
+            child_call.method.clone(),
+            format!("http://{node_callers}/{}", child_call.path),
         )
         .header("x-marker", &call.marker)
         // The same whenever this call is made again for the same parent.
--- a/crates/hemlocktack-testkit/src/upstream/mod.rs
+++ b/crates/hemlocktack-testkit/src/upstream/mod.rs
@@ -1,8 +1,8 @@
 //! Stand-in for an upstream (docs/interfaces/upstreams.md).
 
 mod announce;
+mod child_calls;
 mod counts;
-mod deeper;
 mod routes;
 mod settings;
 mod work;
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 
 pub use counts::Counts;
-pub use settings::{Crash, DeeperCall, Fault, Settings, Switches};
+pub use settings::{ChildCall, Crash, Fault, Settings, Switches};
 
 use crate::server::{Server, serve};
 use crate::{Relay, Result};
--- a/crates/hemlocktack-testkit/src/upstream/settings.rs
+++ b/crates/hemlocktack-testkit/src/upstream/settings.rs
@@ -21,7 +21,7 @@
     /// Connections that it announces.
     pub connections: u32,
     /// Made one after another for each call.
-    pub deeper: Vec<DeeperCall>,
+    pub child_calls: Vec<ChildCall>,
     /// What a crash does.
     pub crash: Crash,
     /// Switches at the start.
@@ -38,7 +38,7 @@
             node_callers: None,
             slots: 16,
             connections: 64,
-            deeper: Vec::new(),
+            child_calls: Vec::new(),
             crash: Crash::CutConnections,
             switches: Switches::default(),
         }
@@ -48,20 +48,20 @@
 /// A call that the upstream makes through its node for each of its calls.
 #[derive(Clone, Debug, PartialEq, Eq, derive_more::Display)]
 #[display("{method} {path}")]
-pub struct DeeperCall {
+pub struct ChildCall {
     /// HTTP method.
     pub method: reqwest::Method,
     /// Service and path, such as `diaries/slots`.
     pub path: String,
 }
 
-impl std::str::FromStr for DeeperCall {
+impl std::str::FromStr for ChildCall {
     type Err = &'static str;
 
-    fn from_str(text: &str) -> Result<DeeperCall, Self::Err> {
+    fn from_str(text: &str) -> Result<ChildCall, Self::Err> {
         let (method, path) = text.split_once(' ').unwrap_or(("GET", text));
         let method = method.parse().map_err(|_| "not an HTTP method")?;
-        Ok(DeeperCall {
+        Ok(ChildCall {
             method,
             path: path.trim_start_matches('/').to_owned(),
         })
--- a/crates/hemlocktack-testkit/src/upstream/work.rs
+++ b/crates/hemlocktack-testkit/src/upstream/work.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 use crate::http::Reply;
-use crate::upstream::deeper::call_deeper;
+use crate::upstream::child_calls::make_child_calls;
 use crate::upstream::{Crash, Fault, Shared};
 
 const COLD_FACTOR: u32 = 4;
@@ -88,8 +88,8 @@
     }
 
     async fn finish(&self, call: &Call) -> Reply {
-        let deeper = call_deeper(self, call).await;
-        let succeeded = deeper.iter().all(|answer| answer.succeeded());
+        let child_answers = make_child_calls(self, call).await;
+        let succeeded = child_answers.iter().all(|answer| answer.succeeded());
         self.counters.finished.fetch_add(1, Ordering::Relaxed);
         let echo_bytes = call.body.len().min(ECHO_LIMIT_BYTES);
         let body = json!({
@@ -99,7 +99,7 @@
             "marker": call.marker,
             "body_bytes": call.body.len(),
             "echo": String::from_utf8_lossy(&call.body[..echo_bytes]),
-            "deeper": deeper,
+            "deeper": child_answers,
             "padding": "x".repeat(call.padding_bytes),
         });
         Reply::json(if succeeded { 200 } else { 502 }, &body)
