--- a/crates/hemlocktack-fleet/examples/fleet_runs/actions.rs
+++ b/crates/hemlocktack-fleet/examples/fleet_runs/actions.rs
@@ -1,4 +1,4 @@
-//! What the actions of a process's state machines lead to.
+//! Carries out the actions that the state machines of a process return.
 
 use std::net::SocketAddr;
 
@@ -12,7 +12,7 @@
 use crate::world::{Event, World};
 
 impl World {
-    pub(crate) fn act(
+    pub(crate) fn apply_membership_actions(
         &mut self,
         number: usize,
         process: &mut Process,
@@ -25,11 +25,11 @@
                     node_id,
                     generation,
                 } => {
-                    process.in_force.peer_announced(&node_id, generation);
+                    process.configuration.peer_announced(&node_id, generation);
                 }
                 MembershipAction::Superseded { .. } => {
-                    let actions = process.life.drain(self.instant());
-                    self.live(number, process, &actions);
+                    let actions = process.lifecycle.drain(self.instant());
+                    self.apply_lifecycle_actions(number, process, &actions);
                 }
                 MembershipAction::MembersChanged | MembershipAction::SuspectsReceived { .. } => {}
             }
@@ -55,11 +55,11 @@
                 from: address,
                 gossip,
             };
-            self.follow(target, delay, event);
+            self.push_to_outbox(target, delay, event);
         }
     }
 
-    pub(crate) fn configure(
+    pub(crate) fn apply_configuration_actions(
         &mut self,
         number: usize,
         process: &mut Process,
@@ -68,35 +68,35 @@
         for action in actions {
             match action {
                 ConfigurationAction::ReadPlatform { above, wait } => {
-                    self.ask_platform(number, above, wait);
+                    self.read_platform(number, above, wait);
                 }
                 ConfigurationAction::Pull { node_id, above } => {
                     self.pull(number, node_id, above);
                 }
                 ConfigurationAction::Install { document } => {
                     self.checks
-                        .installed(number, process, document.generation)?;
+                        .check_installed(number, process, document.generation)?;
                     let generation = document.generation;
-                    self.note(format!("{number} installs {generation}"));
+                    self.note(format!("node {number} installs generation {generation}"));
                     let actions = process.membership.set_generation(generation, &mut self.rng);
-                    self.act(number, process, actions);
+                    self.apply_membership_actions(number, process, actions);
                 }
                 ConfigurationAction::ReportUnreadable { generation } => {
-                    return Err(format!("{number} cannot read {generation}"));
+                    return Err(format!("node {number} cannot read generation {generation}"));
                 }
                 ConfigurationAction::CaughtUp => {
-                    self.note(format!("{number} caught up"));
+                    self.note(format!("node {number} has caught up"));
                     self.checks
-                        .caught_up(number, process, &self.slots[number])?;
-                    let actions = process.life.configuration_caught_up();
-                    self.live(number, process, &actions);
+                        .check_caught_up(number, process, &self.slots[number])?;
+                    let actions = process.lifecycle.configuration_caught_up();
+                    self.apply_lifecycle_actions(number, process, &actions);
                 }
             }
         }
         Ok(())
     }
 
-    pub(crate) fn live(
+    pub(crate) fn apply_lifecycle_actions(
         &mut self,
         number: usize,
         process: &mut Process,
@@ -105,20 +105,20 @@
         for action in actions {
             match action {
                 LifecycleAction::Publish(publication) => {
-                    self.note(format!("{number} publishes {:?}", publication.state));
+                    self.note(format!("node {number} publishes {:?}", publication.state));
                     let actions = process.membership.update_own(*publication, &mut self.rng);
-                    self.act(number, process, actions);
+                    self.apply_membership_actions(number, process, actions);
                 }
                 LifecycleAction::HandOver => {
-                    let actions = process.life.handed_over();
-                    return self.live(number, process, &actions);
+                    let actions = process.lifecycle.handed_over();
+                    return self.apply_lifecycle_actions(number, process, &actions);
                 }
                 LifecycleAction::ReportOverrun { .. } => {}
                 LifecycleAction::Leave => return true,
             }
         }
-        let is_leaving =
-            process.life.state() != NodeState::Starting && !process.life.accepts_new_calls();
+        let is_leaving = process.lifecycle.state() != NodeState::Starting
+            && !process.lifecycle.accepts_new_calls();
         if !is_leaving {
             process.leaving_since = None;
         } else if process.leaving_since.is_none() {
--- a/crates/hemlocktack-fleet/examples/fleet_runs/checks.rs
+++ b/crates/hemlocktack-fleet/examples/fleet_runs/checks.rs
@@ -1,4 +1,4 @@
-//! What must hold while a fleet runs, and after its faults have ended.
+//! Guarantees that must hold while a fleet runs and after its faults have ended.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,28 +9,29 @@
 use crate::world::World;
 
 const CHECK_PERIOD: Duration = Duration::from_millis(500);
-/// An accepted generation is in force everywhere within this time.
+/// Time within which an accepted generation must be in force on every undisturbed node.
 const IN_FORCE_LIMIT: Duration = Duration::from_secs(5);
-/// A leaving upstream is out of every view within this time.
+/// Time within which no undisturbed node may send calls to a leaving node or upstream.
 pub(crate) const LEAVING_LIMIT: Duration = Duration::from_secs(3);
-/// The same where nobody was there who could tell: by probing.
-const UNTOLD_LIMIT: Duration = Duration::from_secs(20);
-/// After a cut, nodes that hold each other for dead find each other again
-/// within this time; the other limits count from then.
+/// The same where no node could announce the departure, so that probes have to detect it.
+const UNANNOUNCED_LIMIT: Duration = Duration::from_secs(20);
+/// Time within which nodes that consider each other dead reconnect after a partition; the other
+/// limits count from then.
 const RECONNECT_LIMIT: Duration = Duration::from_secs(5);
-/// Two nodes undisturbed for so long never hold each other for dead.
-const DEATH_CALM: Duration = Duration::from_secs(40);
-/// A node undisturbed for so long is suspected wrongly.
-const SUSPICION_CALM: Duration = Duration::from_secs(15);
-/// Longest backoff towards the platform, and a little.
-const PLATFORM_CALM: Duration = Duration::from_secs(36);
-/// Datagram loss up to which the limits above are promised.
-const CALM_LOSS: f64 = 0.05;
+/// Two nodes that were undisturbed for this time must not consider each other dead.
+const DEAD_CHECK_AFTER: Duration = Duration::from_secs(40);
+/// A suspicion of a node that was undisturbed for this time counts as false.
+const SUSPECT_CHECK_AFTER: Duration = Duration::from_secs(15);
+/// Time after which every node has called a recovered platform: slightly more than the longest
+/// backoff.
+const PLATFORM_RECOVERY_LIMIT: Duration = Duration::from_secs(36);
+/// Share of lost datagrams up to which the limits above are guaranteed.
+const TOLERATED_LOSS: f64 = 0.05;
 
-type Verdict = Result<(), String>;
+type CheckResult = Result<(), String>;
 
-/// Generations in force at one time, by slot; none where a node was disturbed.
-struct Sample {
+/// Generations in force at one time, by slot; `None` for disturbed nodes.
+struct GenerationSample {
     at: Duration,
     generations: Vec<Option<(Incarnation, Generation)>>,
 }
@@ -39,44 +40,53 @@
 #[derive(Default)]
 pub(crate) struct Checks {
     next: Duration,
-    samples: VecDeque<Sample>,
-    /// When datagrams were last lost at more than the calm rate.
-    lossy: Duration,
-    /// Looks of one node at an undisturbed other one, and how many of them
-    /// found it suspected.
-    pub(crate) views: u64,
+    samples: VecDeque<GenerationSample>,
+    /// When the share of lost datagrams last exceeded `TOLERATED_LOSS`.
+    last_lossy: Duration,
+    /// How often the view that one node has of another, undisturbed one was examined.
+    pub(crate) observations: u64,
+    /// Those of the observations that found the node suspected.
     pub(crate) false_suspicions: u64,
-    /// Generation that every undisturbed node has in force.
-    pub(crate) settled: Generation,
+    /// Lowest generation that an undisturbed node has in force.
+    pub(crate) common_generation: Generation,
 }
 
 impl Checks {
-    /// The generation in force never goes down.
-    pub(crate) fn installed(
+    /// Checks that the generation in force never decreases.
+    pub(crate) fn check_installed(
         &mut self,
         number: usize,
         process: &mut Process,
         generation: Generation,
-    ) -> Verdict {
+    ) -> CheckResult {
         if generation <= process.installed {
             let before = process.installed;
             return Err(format!(
-                "{number} goes from generation {before} to {generation}"
+                "node {number} installs generation {generation} after {before}"
             ));
         }
         process.installed = generation;
         Ok(())
     }
 
-    /// A start takes no calls before it has what was in force everywhere else
-    /// when it started.
-    pub(crate) fn caught_up(&self, number: usize, process: &Process, slot: &Slot) -> Verdict {
-        let is_undisturbed = slot.disturbed <= process.started;
-        let floor = if is_undisturbed { process.floor } else { 1 };
-        if process.installed < floor {
+    /// Checks that a process accepts no calls before it has the generation that was in force on all
+    /// other nodes when it started.
+    pub(crate) fn check_caught_up(
+        &self,
+        number: usize,
+        process: &Process,
+        slot: &Slot,
+    ) -> CheckResult {
+        let is_undisturbed = slot.disturbed_at <= process.started;
+        let min_generation = if is_undisturbed {
+            process.min_generation
+        } else {
+            1
+        };
+        if process.installed < min_generation {
             let installed = process.installed;
             return Err(format!(
-                "{number} takes calls with generation {installed} below {floor}"
+                "node {number} accepts calls with generation {installed}, below {min_generation}"
             ));
         }
         Ok(())
@@ -84,13 +94,13 @@
 }
 
 impl World {
-    pub(crate) fn check_if_due(&mut self) -> Verdict {
+    pub(crate) fn check_if_due(&mut self) -> CheckResult {
         if self.now < self.checks.next {
             return Ok(());
         }
         self.checks.next = self.now + CHECK_PERIOD;
         self.answer_watches();
-        self.mark_disturbed();
+        self.record_disturbances();
         self.check_generations()?;
         self.check_leaving()?;
         self.check_deaths()?;
@@ -98,12 +108,12 @@
         self.check_fail_static()
     }
 
-    /// Counts how often a node that is up and undisturbed is suspected: no
-    /// broken promise, but one choice less for calls.
+    /// Counts how often a running, undisturbed node is suspected. This violates no guarantee, but
+    /// leaves one node less to send calls to.
     fn count_false_suspicions(&mut self) {
         for number in 0..self.slots.len() {
-            let quiet = self.now.saturating_sub(self.slots[number].disturbed);
-            if quiet < SUSPICION_CALM || self.slots[number].process.is_none() {
+            let quiet = self.now.saturating_sub(self.slots[number].disturbed_at);
+            if quiet < SUSPECT_CHECK_AFTER || self.slots[number].process.is_none() {
                 continue;
             }
             for viewer in (0..self.slots.len()).filter(|&viewer| viewer != number) {
@@ -111,40 +121,42 @@
                 let Some(state) = self.state_in_view(viewer, number).filter(|_| !is_cut) else {
                     continue;
                 };
-                self.checks.views += 1;
+                self.checks.observations += 1;
                 self.checks.false_suspicions += u64::from(state == NodeState::Suspect);
             }
         }
     }
 
-    /// Marks the smaller side of each cut, or both of two like sides.
-    fn mark_disturbed(&mut self) {
+    /// Records which nodes are disturbed. A partition disturbs its smaller side, or both sides where
+    /// neither is small.
+    fn record_disturbances(&mut self) {
         const SMALL_SHARE: usize = 3;
         let now = self.now;
-        if self.network.loss > CALM_LOSS {
-            self.checks.lossy = now;
+        if self.network.loss > TOLERATED_LOSS {
+            self.checks.last_lossy = now;
         }
         for cut in &self.network.cuts {
             let is_small = cut.side.len() * SMALL_SHARE <= self.slots.len();
             let other = if is_small { &[][..] } else { &cut.other[..] };
             for &number in cut.side.iter().chain(other) {
-                self.slots[number].disturbed = now + RECONNECT_LIMIT;
+                self.slots[number].disturbed_at = now + RECONNECT_LIMIT;
             }
         }
         for slot in &mut self.slots {
             if slot.is_frozen(now) || slot.process.is_none() {
-                slot.disturbed = slot.disturbed.max(now);
+                slot.disturbed_at = slot.disturbed_at.max(now);
             }
         }
     }
 
-    /// Slots whose node, and whose network, was undisturbed for so long.
-    fn calm(&self, period: Duration) -> Vec<usize> {
+    /// Returns the slots of running nodes that were undisturbed for `period`; none if too many
+    /// datagrams were lost in that time.
+    fn undisturbed_slots(&self, period: Duration) -> Vec<usize> {
         let since = |time: Duration| self.now.saturating_sub(time);
-        if since(self.checks.lossy) < period {
+        if since(self.checks.last_lossy) < period {
             return Vec::new();
         }
-        let is_calm = |slot: &Slot| slot.process.is_some() && since(slot.disturbed) >= period;
+        let is_calm = |slot: &Slot| slot.process.is_some() && since(slot.disturbed_at) >= period;
         let numbered = self.slots.iter().enumerate();
         numbered
             .filter(|(_, slot)| is_calm(slot))
@@ -152,50 +164,57 @@
             .collect()
     }
 
-    fn check_generations(&mut self) -> Verdict {
-        let calm = self.calm(IN_FORCE_LIMIT);
-        let required = self.required_generation(&calm);
-        for &number in &calm {
+    fn check_generations(&mut self) -> CheckResult {
+        let undisturbed_slots = self.undisturbed_slots(IN_FORCE_LIMIT);
+        let required = self.required_generation(&undisturbed_slots);
+        for &number in &undisturbed_slots {
             let Some(process) = &self.slots[number].process else {
                 continue;
             };
-            let generation = process.in_force.generation();
-            let is_serving = process.in_force.is_caught_up();
+            let generation = process.configuration.generation();
+            let is_serving = process.configuration.is_caught_up();
             if is_serving && generation < required {
                 return Err(format!(
-                    "{number} still has generation {generation} of {required}"
+                    "node {number} still has generation {generation}, must have {required}"
                 ));
             }
         }
         let generations: Vec<_> = (0..self.slots.len())
-            .map(|number| self.sampled(number, &calm))
+            .map(|number| self.sample_generation(number, &undisturbed_slots))
             .collect();
-        self.checks.settled = generations
+        self.checks.common_generation = generations
             .iter()
             .flatten()
             .map(|(_, generation)| *generation)
             .min()
             .unwrap_or(0);
         let at = self.now;
-        self.checks.samples.push_back(Sample { at, generations });
+        self.checks
+            .samples
+            .push_back(GenerationSample { at, generations });
         Ok(())
     }
 
-    fn sampled(&self, number: usize, calm: &[usize]) -> Option<(Incarnation, Generation)> {
+    fn sample_generation(
+        &self,
+        number: usize,
+        undisturbed_slots: &[usize],
+    ) -> Option<(Incarnation, Generation)> {
         let process = self.slots[number].process.as_ref()?;
-        let sample = (process.incarnation, process.in_force.generation());
-        calm.contains(&number).then_some(sample)
+        let sample = (process.incarnation, process.configuration.generation());
+        undisturbed_slots.contains(&number).then_some(sample)
     }
 
-    /// Highest generation that an undisturbed node had a limit ago, or that
-    /// the undisturbed platform stored then.
-    fn required_generation(&mut self, calm: &[usize]) -> Generation {
+    /// Returns the highest generation that an undisturbed node had in force `IN_FORCE_LIMIT` ago, or
+    /// that the undisturbed platform had stored by then.
+    fn required_generation(&mut self, undisturbed_slots: &[usize]) -> Generation {
         let since = self.now.saturating_sub(IN_FORCE_LIMIT);
         let samples = &mut self.checks.samples;
         while samples.get(1).is_some_and(|sample| sample.at <= since) {
             samples.pop_front();
         }
-        let platform_calm = self.now.saturating_sub(self.platform.disturbed) >= PLATFORM_CALM;
+        let platform_calm =
+            self.now.saturating_sub(self.platform.disturbed_at) >= PLATFORM_RECOVERY_LIMIT;
         let stored = match platform_calm && self.platform.written <= since {
             true => self.platform.generation(),
             false => 0,
@@ -203,60 +222,68 @@
         let Some(sample) = samples.front().filter(|sample| sample.at <= since) else {
             return stored;
         };
-        let held = calm.iter().filter_map(|&number| sample.generations[number]);
+        let held = undisturbed_slots
+            .iter()
+            .filter_map(|&number| sample.generations[number]);
         held.map(|(_, generation)| generation)
             .max()
             .unwrap_or(0)
             .max(stored)
     }
 
-    fn check_leaving(&self) -> Verdict {
-        let calm = self.calm(LEAVING_LIMIT);
-        let long_calm = self.calm(UNTOLD_LIMIT);
+    fn check_leaving(&self) -> CheckResult {
+        let undisturbed_slots = self.undisturbed_slots(LEAVING_LIMIT);
+        let undisturbed_longer = self.undisturbed_slots(UNANNOUNCED_LIMIT);
         for (number, slot) in self.slots.iter().enumerate() {
-            let Some(incarnation) = self.gone_or_going(slot) else {
+            let Some(incarnation) = self.leaving_incarnation(slot) else {
                 continue;
             };
             let takes = |viewer: &usize| self.accepts_new_calls(*viewer, number, incarnation);
-            let somebody_knows = calm.iter().any(|viewer| takes(viewer) == Some(false));
-            let is_bound = |viewer: &&usize| somebody_knows || long_calm.contains(viewer);
-            let wrong = calm
+            let is_announced = undisturbed_slots
+                .iter()
+                .any(|viewer| takes(viewer) == Some(false));
+            let is_bound = |viewer: &&usize| is_announced || undisturbed_longer.contains(viewer);
+            let wrong = undisturbed_slots
                 .iter()
                 .filter(is_bound)
                 .find(|viewer| takes(viewer) == Some(true));
             if let Some(viewer) = wrong {
-                return Err(format!("{viewer} still places calls on leaving {number}"));
+                return Err(format!(
+                    "node {viewer} still sends calls to the leaving node {number}"
+                ));
             }
         }
         Ok(())
     }
 
-    /// Whether a viewer would place calls on that start of a node; `None` if
-    /// it does not know it.
+    /// Returns whether `viewer` would send calls to that incarnation of a node; `None` if it does not
+    /// know it.
     fn accepts_new_calls(&self, viewer: usize, number: usize, of: Incarnation) -> Option<bool> {
         let process = self.slots[viewer].process.as_ref()?;
         let peer = process.membership.peer(&self.slots[number].node_id)?;
         (peer.member.incarnation == of).then(|| peer.accepts_new_calls())
     }
 
-    /// Incarnation of a node that has been leaving for longer than the limit,
-    /// undisturbed so that it could say so.
-    fn gone_or_going(&self, slot: &Slot) -> Option<Incarnation> {
+    /// Returns the incarnation of a node that has been leaving for longer than `LEAVING_LIMIT`, and
+    /// was undisturbed so that it could announce it.
+    fn leaving_incarnation(&self, slot: &Slot) -> Option<Incarnation> {
         let is_long_ago = |time: Duration| self.now.saturating_sub(time) >= LEAVING_LIMIT;
         let Some(process) = &slot.process else {
             return slot.left.map(|(incarnation, _)| incarnation);
         };
         let leaving = [process.leaving_since, process.upstream_drained];
         let is_leaving = leaving.into_iter().flatten().any(is_long_ago);
-        (is_leaving && is_long_ago(slot.disturbed)).then_some(process.incarnation)
+        (is_leaving && is_long_ago(slot.disturbed_at)).then_some(process.incarnation)
     }
 
-    fn check_deaths(&self) -> Verdict {
-        let calm = self.calm(DEATH_CALM);
-        for &viewer in &calm {
-            for &number in &calm {
+    fn check_deaths(&self) -> CheckResult {
+        let undisturbed_slots = self.undisturbed_slots(DEAD_CHECK_AFTER);
+        for &viewer in &undisturbed_slots {
+            for &number in &undisturbed_slots {
                 if self.state_in_view(viewer, number) == Some(NodeState::Dead) {
-                    return Err(format!("{viewer} holds the healthy {number} for dead"));
+                    return Err(format!(
+                        "node {viewer} considers the healthy node {number} dead"
+                    ));
                 }
             }
         }
@@ -270,28 +297,30 @@
         (peer.member.incarnation == viewed.incarnation).then_some(peer.state)
     }
 
-    fn check_fail_static(&self) -> Verdict {
+    fn check_fail_static(&self) -> CheckResult {
         for (number, slot) in self.slots.iter().enumerate() {
             let Some(process) = &slot.process else {
                 continue;
             };
-            let is_serving = process.life.state() == NodeState::Ready;
-            if is_serving && !process.in_force.is_caught_up() {
-                return Err(format!("{number} gives up what it has in force"));
+            let is_serving = process.lifecycle.state() == NodeState::Ready;
+            if is_serving && !process.configuration.is_caught_up() {
+                return Err(format!(
+                    "node {number} is ready without a caught-up configuration"
+                ));
             }
         }
         Ok(())
     }
 
-    /// After the faults have ended: all views are the same and right.
-    pub(crate) fn check_converged(&self) -> Verdict {
+    /// Checks that all views are equal and correct after the faults have ended.
+    pub(crate) fn check_converged(&self) -> CheckResult {
         for viewer in 0..self.slots.len() {
             let Some(process) = &self.slots[viewer].process else {
                 continue;
             };
-            let generation = process.in_force.generation();
+            let generation = process.configuration.generation();
             if generation != self.platform.generation() {
-                return Err(format!("{viewer} ends with generation {generation}"));
+                return Err(format!("node {viewer} ends with generation {generation}"));
             }
             for number in (0..self.slots.len()).filter(|&number| number != viewer) {
                 self.check_view(viewer, number)?;
@@ -300,7 +329,7 @@
         Ok(())
     }
 
-    fn check_view(&self, viewer: usize, number: usize) -> Verdict {
+    fn check_view(&self, viewer: usize, number: usize) -> CheckResult {
         let slot = &self.slots[number];
         let Some(process) = self.slots[viewer].process.as_ref() else {
             return Ok(());
@@ -309,15 +338,20 @@
         let is_live = |state| !matches!(state, NodeState::Dead | NodeState::Left);
         let Some(running) = &slot.process else {
             return match peer.is_some_and(|peer| is_live(peer.state)) {
-                true => Err(format!("{viewer} holds the stopped {number} for live")),
+                true => Err(format!(
+                    "node {viewer} considers the stopped node {number} alive"
+                )),
                 false => Ok(()),
             };
         };
         let own = running.membership.own();
         match peer {
             Some(peer) if peer.member == *own && peer.state == own.state() => Ok(()),
-            Some(peer) => Err(format!("{viewer} sees {number} as {:?}", peer.state)),
-            None => Err(format!("{viewer} does not know {number}")),
+            Some(peer) => Err(format!(
+                "node {viewer} sees node {number} as {:?}",
+                peer.state
+            )),
+            None => Err(format!("node {viewer} does not know node {number}")),
         }
     }
 }
--- a/crates/hemlocktack-fleet/examples/fleet_runs/exchanges.rs
+++ b/crates/hemlocktack-fleet/examples/fleet_runs/exchanges.rs
@@ -1,4 +1,4 @@
-//! Calls of the platform, and pulls from one node to another.
+//! Calls to the platform, and configuration pulls between nodes.
 
 use std::time::Duration;
 
@@ -6,25 +6,25 @@
 use rand::RngExt;
 
 use crate::node::Process;
-use crate::platform::{Watch, Weather};
+use crate::platform::{PlatformCondition, Watch};
 use crate::world::{Event, World};
 
 impl World {
-    pub(crate) fn ask_platform(&mut self, number: usize, above: Generation, wait: bool) {
+    pub(crate) fn read_platform(&mut self, number: usize, above: Generation, wait: bool) {
         const WATCH_LIMIT: Duration = Duration::from_secs(30);
         self.platform.calls += 1;
-        let weather = self.platform.weather;
-        let delay = match weather {
-            Weather::Slow => Duration::from_millis(self.rng.random_range(500..4_000)),
+        let condition = self.platform.condition;
+        let delay = match condition {
+            PlatformCondition::Slow => Duration::from_millis(self.rng.random_range(500..4_000)),
             _ => Duration::from_millis(self.rng.random_range(1..10)),
         };
-        let answer = match weather {
-            Weather::Out => Event::PlatformFailed,
+        let answer = match condition {
+            PlatformCondition::Unavailable => Event::PlatformFailed,
             _ => Event::PlatformAnswer(self.platform.read(above)),
         };
         let is_empty = matches!(answer, Event::PlatformAnswer(None));
         if !(wait && is_empty) {
-            self.follow(number, delay, answer);
+            self.push_to_outbox(number, delay, answer);
             return;
         }
         let ends = self.now + WATCH_LIMIT;
@@ -35,11 +35,11 @@
         });
     }
 
-    /// Answers the watches whose document has come or whose time is over.
+    /// Answers the watches that have a newer document or whose time limit has passed.
     pub(crate) fn answer_watches(&mut self) {
         for watch in std::mem::take(&mut self.platform.watches) {
             let document = self.platform.read(watch.above);
-            let is_out = self.platform.weather == Weather::Out;
+            let is_out = self.platform.condition == PlatformCondition::Unavailable;
             let event = match (is_out, document) {
                 (true, _) => Event::PlatformFailed,
                 (false, None) if self.now < watch.ends => {
@@ -62,7 +62,7 @@
             return;
         }
         if self.slots[target].process.is_none() {
-            self.follow(number, FAILURE_DELAY, Event::PullFailed { from: node_id });
+            self.push_to_outbox(number, FAILURE_DELAY, Event::PullFailed { from: node_id });
             return;
         }
         let delay = Duration::from_micros(self.rng.random_range(300..5_000));
@@ -70,7 +70,7 @@
             from: number,
             above,
         };
-        self.follow(target, delay, request);
+        self.push_to_outbox(target, delay, request);
     }
 
     pub(crate) fn answer_pull(
@@ -83,33 +83,36 @@
         if self.network.is_cut(number, from) {
             return;
         }
-        let current = process.in_force.current();
+        let current = process.configuration.current();
         let document = current.filter(|document| document.generation > above);
         let answer = Event::PullAnswer {
             from: self.slots[number].node_id.clone(),
-            in_force: process.in_force.generation(),
+            in_force: process.configuration.generation(),
             document: document.cloned(),
         };
         let delay = Duration::from_micros(self.rng.random_range(300..600_000));
-        self.follow(from, delay, answer);
+        self.push_to_outbox(from, delay, answer);
     }
 
-    /// An operator's command at a node: a conditional update of the platform.
+    /// Carries out an operator's command at a node: a conditional update of the platform.
     pub(crate) fn write(&mut self, number: usize, expected: Generation, change_id: String) {
-        let weather = self.platform.weather;
-        if weather == Weather::Out {
+        let condition = self.platform.condition;
+        if condition == PlatformCondition::Unavailable {
             return;
         }
         let Some(document) = self.platform.write(self.now, expected, change_id) else {
             return;
         };
-        self.note(format!("stored {} through {number}", document.generation));
-        let delay = Duration::from_millis(match weather {
-            Weather::Slow => self.rng.random_range(500..4_000),
+        self.note(format!(
+            "node {number} stores generation {}",
+            document.generation
+        ));
+        let delay = Duration::from_millis(match condition {
+            PlatformCondition::Slow => self.rng.random_range(500..4_000),
             _ => self.rng.random_range(1..10),
         });
-        if weather != Weather::LosesAnswers {
-            self.follow(number, delay, Event::Stored(document));
+        if condition != PlatformCondition::LosesAnswers {
+            self.push_to_outbox(number, delay, Event::Stored(document));
         }
     }
 }
--- a/crates/hemlocktack-fleet/examples/fleet_runs/faults.rs
+++ b/crates/hemlocktack-fleet/examples/fleet_runs/faults.rs
@@ -1,4 +1,4 @@
-//! Faults and commands, drawn at random.
+//! Randomly chosen faults and operator commands.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 use strum::{EnumIter, IntoEnumIterator};
 
 use crate::network::Cut;
-use crate::platform::Weather;
+use crate::platform::PlatformCondition;
 use crate::world::{Event, World};
 
-/// One thing that may happen to a fleet.
+/// A fault or operator command; `Quiet` lets time pass without one.
 #[derive(Clone, Copy, Debug, EnumIter)]
 enum Fault {
     Kill,
@@ -34,8 +34,8 @@
 }
 
 impl World {
-    /// Lets one fault or command happen and some time pass.
-    pub(crate) fn disturb(&mut self, step: u64) -> Result<(), String> {
+    /// Injects one random fault or command and lets a random time pass.
+    pub(crate) fn inject_fault(&mut self, step: u64) -> Result<(), String> {
         let Some(fault) = Fault::iter().choose(&mut self.rng) else {
             return Ok(());
         };
@@ -59,39 +59,41 @@
                 self.start(number);
             }
             Fault::Freeze => {
-                let until = self.later(200, 30_000);
+                let until = self.random_time_from_now(200, 30_000);
                 let slot = &mut self.slots[number];
                 slot.frozen_until = slot.frozen_until.max(until);
             }
             Fault::CutNode => self.cut(vec![number]),
             Fault::CutDataCentre => {
                 let wanted = self.slots[number].data_centre.clone();
-                self.cut(self.numbers(|slot| slot.data_centre == wanted));
+                self.cut(self.slots_where(|slot| slot.data_centre == wanted));
             }
             Fault::CutRegion => {
                 let wanted = self.slots[number].region.clone();
-                self.cut(self.numbers(|slot| slot.region == wanted));
+                self.cut(self.slots_where(|slot| slot.region == wanted));
             }
             Fault::LoseDatagrams => {
                 self.network.loss = self.rng.random_range(0.0..0.3);
-                self.network.loss_ends = self.later(1_000, 20_000);
+                self.network.loss_ends = self.random_time_from_now(1_000, 20_000);
             }
-            Fault::PlatformOut => self.change_weather(Weather::Out),
-            Fault::PlatformSlow => self.change_weather(Weather::Slow),
-            Fault::PlatformLosesAnswers => self.change_weather(Weather::LosesAnswers),
-            Fault::Apply => self.command(number, step, 0),
-            Fault::RacingApplies => self.race(number, step),
+            Fault::PlatformOut => self.set_platform_condition(PlatformCondition::Unavailable),
+            Fault::PlatformSlow => self.set_platform_condition(PlatformCondition::Slow),
+            Fault::PlatformLosesAnswers => {
+                self.set_platform_condition(PlatformCondition::LosesAnswers)
+            }
+            Fault::Apply => self.issue_command(number, step, 0),
+            Fault::RacingApplies => self.issue_racing_commands(number, step),
             Fault::DrainNode => self.drain_node(number),
             Fault::DrainUpstream => self.drain_upstream(number),
             Fault::UpstreamReturns => self.return_upstream(number),
         }
     }
 
-    fn later(&mut self, least_ms: u64, most_ms: u64) -> Duration {
+    fn random_time_from_now(&mut self, least_ms: u64, most_ms: u64) -> Duration {
         self.now + Duration::from_millis(self.rng.random_range(least_ms..most_ms))
     }
 
-    fn numbers(&self, is_wanted: impl Fn(&crate::node::Slot) -> bool) -> Vec<usize> {
+    fn slots_where(&self, is_wanted: impl Fn(&crate::node::Slot) -> bool) -> Vec<usize> {
         let wanted = |number: &usize| is_wanted(&self.slots[*number]);
         (0..self.slots.len()).filter(wanted).collect()
     }
@@ -99,34 +101,34 @@
     fn kill(&mut self, number: usize) {
         self.slots[number].process = None;
         self.slots[number].left = None;
-        self.slots[number].disturbed = self.now;
+        self.slots[number].disturbed_at = self.now;
     }
 
     fn cut(&mut self, side: Vec<usize>) {
         let other: Vec<usize> = (0..self.slots.len())
             .filter(|number| !side.contains(number))
             .collect();
-        let ends = self.later(500, 60_000);
+        let ends = self.random_time_from_now(500, 60_000);
         self.network.cuts.push(Cut { side, other, ends });
     }
 
-    fn change_weather(&mut self, weather: Weather) {
-        self.platform.weather = weather;
-        self.platform.weather_ends = self.later(1_000, 60_000);
+    fn set_platform_condition(&mut self, condition: PlatformCondition) {
+        self.platform.condition = condition;
+        self.platform.condition_ends = self.random_time_from_now(1_000, 60_000);
     }
 
-    fn race(&mut self, number: usize, step: u64) {
+    fn issue_racing_commands(&mut self, number: usize, step: u64) {
         let other = self.rng.random_range(0..self.slots.len());
-        self.command(number, step, 0);
-        self.command(other, step, 1);
+        self.issue_command(number, step, 0);
+        self.issue_command(other, step, 1);
     }
 
-    /// An operator's command, based on the generation that the node shows.
-    fn command(&mut self, number: usize, step: u64, operator: u64) {
+    /// Issues an operator's command, based on the generation that the node has in force.
+    fn issue_command(&mut self, number: usize, step: u64, operator: u64) {
         let Some(process) = &self.slots[number].process else {
             return;
         };
-        let expected = process.in_force.generation();
+        let expected = process.configuration.generation();
         let change_id = format!("change-{step}-{operator}");
         let delay = Duration::from_millis(self.rng.random_range(1..200));
         self.schedule(
@@ -142,16 +144,16 @@
     fn drain_node(&mut self, number: usize) {
         const LONGEST_CALL_TICKS: usize = 80;
         let in_flight = self.rng.random_range(0..LONGEST_CALL_TICKS);
-        self.with_life(number, |process, instant| {
+        self.with_lifecycle(number, |process, instant| {
             process.in_flight = process.in_flight.max(in_flight);
-            process.life.drain(instant)
+            process.lifecycle.drain(instant)
         });
     }
 
     fn drain_upstream(&mut self, number: usize) {
         let now = self.now;
-        self.with_life(number, |process, _| {
-            let actions = process.life.drain_upstream();
+        self.with_lifecycle(number, |process, _| {
+            let actions = process.lifecycle.drain_upstream();
             process.upstream_drained.get_or_insert(now);
             actions
         });
@@ -159,7 +161,7 @@
 
     fn return_upstream(&mut self, number: usize) {
         const SLOTS: u32 = 45;
-        self.with_life(number, |process, instant| {
+        self.with_lifecycle(number, |process, instant| {
             let announcement = Announcement {
                 address: process.upstream_address,
                 slots: SLOTS,
@@ -167,18 +169,18 @@
                 is_other_start: false,
             };
             process.upstream_drained = None;
-            process.life.announce(instant, announcement)
+            process.lifecycle.announce(instant, announcement)
         });
     }
 
-    /// Ends all faults and lets the fleet settle.
+    /// Ends all faults and checks that the fleet converges.
     pub(crate) fn heal(&mut self) -> Result<(), String> {
-        const SETTLING: Duration = Duration::from_secs(150);
+        const CONVERGENCE_LIMIT: Duration = Duration::from_secs(150);
         self.network.cuts.clear();
         self.network.loss = 0.0;
-        self.platform.weather = Weather::Fine;
-        self.note("all faults end".to_owned());
-        self.run_until(self.now + SETTLING)?;
+        self.platform.condition = PlatformCondition::Healthy;
+        self.note("all faults ended".to_owned());
+        self.run_until(self.now + CONVERGENCE_LIMIT)?;
         self.check_converged()
     }
 }
--- a/crates/hemlocktack-fleet/examples/fleet_runs/network.rs
+++ b/crates/hemlocktack-fleet/examples/fleet_runs/network.rs
@@ -1,18 +1,18 @@
-//! Which datagrams and pulls arrive, and when.
+//! Simulated network: which datagrams and pulls arrive, and when.
 
 use std::time::Duration;
 
 use rand::RngExt;
 use rand::rngs::StdRng;
 
-/// A cut between two sets of nodes, both ways.
+/// A network partition between two sets of nodes, in both directions.
 pub(crate) struct Cut {
     pub(crate) side: Vec<usize>,
     pub(crate) other: Vec<usize>,
     pub(crate) ends: Duration,
 }
 
-/// State of the network at this moment.
+/// Present faults of the network.
 #[derive(Default)]
 pub(crate) struct Network {
     pub(crate) cuts: Vec<Cut>,
@@ -22,7 +22,7 @@
 }
 
 impl Network {
-    /// Ends what is over; whether a cut was.
+    /// Ends faults whose time is over; returns whether a partition ended.
     pub(crate) fn expire(&mut self, now: Duration) -> bool {
         let before = self.cuts.len();
         self.cuts.retain(|cut| cut.ends > now);
@@ -39,7 +39,7 @@
             .any(|cut| crosses(cut, from, to) || crosses(cut, to, from))
     }
 
-    /// Delays of the copies that arrive: none, one, or two.
+    /// Returns the delay of each copy of a datagram that arrives: none, one, or two.
     pub(crate) fn deliveries(&self, from: usize, to: usize, rng: &mut StdRng) -> Vec<Duration> {
         const DUPLICATE_SHARE: f64 = 0.02;
         const LATE_SHARE: f64 = 0.02;
--- a/crates/hemlocktack-fleet/examples/fleet_runs/node.rs
+++ b/crates/hemlocktack-fleet/examples/fleet_runs/node.rs
@@ -1,4 +1,4 @@
-//! One node's slot: its addresses, and the process that runs there.
+//! The slot of a node: its identity and addresses, and the process that runs there.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,42 +12,43 @@
 
 use crate::world::Settings;
 
-/// Place of a node, the same over restarts.
+/// Identity of a node, which restarts keep, and its present process.
 pub(crate) struct Slot {
     pub(crate) node_id: String,
     pub(crate) data_centre: String,
     pub(crate) region: String,
     pub(crate) address: SocketAddr,
     pub(crate) process: Option<Process>,
-    /// The process does not run until then.
+    /// The process handles no events until then.
     pub(crate) frozen_until: Duration,
-    /// The node was frozen, cut off, killed or started at this time.
-    pub(crate) disturbed: Duration,
-    /// Incarnation and time of the last planned stop that others could hear of.
+    /// When the node was last frozen, partitioned, killed or started; lies in the future for a
+    /// partitioned node, which first has to reconnect.
+    pub(crate) disturbed_at: Duration,
+    /// Incarnation and time of the last planned stop that other nodes could be told of.
     pub(crate) left: Option<(Incarnation, Duration)>,
-    /// Start order of the last start, so that clocks may go backwards.
+    /// Base of the clock that start orders are taken from.
     pub(crate) clock_ms: u64,
 }
 
-/// One start of a node.
+/// One process of a node, from its start to its end.
 pub(crate) struct Process {
     pub(crate) incarnation: Incarnation,
     pub(crate) started: Duration,
     pub(crate) membership: Membership,
-    pub(crate) in_force: ConfigurationState,
-    pub(crate) life: NodeLifecycle,
+    pub(crate) configuration: ConfigurationState,
+    pub(crate) lifecycle: NodeLifecycle,
     /// Highest generation ever installed by this process.
     pub(crate) installed: Generation,
-    /// Since when the process has been leaving.
+    /// When the process began to leave.
     pub(crate) leaving_since: Option<Duration>,
-    /// Since when its upstream has been asked to drain, as this run knows it.
+    /// When its upstream was asked to drain.
     pub(crate) upstream_drained: Option<Duration>,
     /// Address that its upstream announces.
     pub(crate) upstream_address: SocketAddr,
-    /// Calls in flight, for the drain.
+    /// Calls in flight, which a drain waits for.
     pub(crate) in_flight: usize,
     /// Generation that was in force everywhere when the process started.
-    pub(crate) floor: Generation,
+    pub(crate) min_generation: Generation,
 }
 
 impl Slot {
@@ -62,20 +63,20 @@
             address: SocketAddr::from(([127, 0, 0, 1], port)),
             process: None,
             frozen_until: Duration::ZERO,
-            disturbed: Duration::ZERO,
+            disturbed_at: Duration::ZERO,
             left: None,
             clock_ms: START_CLOCK_MS,
         }
     }
 
-    /// Starts a process with a fresh incarnation and a clock that may be
-    /// behind the one of the start before.
+    /// Starts a process with a new incarnation and a clock that may be behind that of the previous
+    /// process.
     pub(crate) fn start(
         &mut self,
         settings: &Settings,
         now: Duration,
         instant: Instant,
-        floor: Generation,
+        min_generation: Generation,
         rng: &mut StdRng,
     ) {
         let clock = self.clock_ms + now.as_millis() as u64;
@@ -91,19 +92,19 @@
             start_order: clock.saturating_sub(rng.random_range(0..20_000)),
             ..Member::default()
         };
-        self.disturbed = now;
+        self.disturbed_at = now;
         self.process = Some(Process {
             incarnation: member.incarnation,
             started: now,
             membership: Membership::new(settings.membership.clone(), member, instant),
-            in_force: ConfigurationState::new(settings.configuration.clone(), instant),
-            life: NodeLifecycle::new(settings.drain.clone(), instant),
+            configuration: ConfigurationState::new(settings.configuration.clone(), instant),
+            lifecycle: NodeLifecycle::new(settings.drain.clone(), instant),
             installed: 0,
             leaving_since: None,
             upstream_drained: None,
             upstream_address: self.address,
             in_flight: 0,
-            floor,
+            min_generation,
         });
     }
 
@@ -113,7 +114,7 @@
 }
 
 impl Process {
-    pub(crate) fn peers_view(&self, watchers: usize) -> PeerView {
+    pub(crate) fn peer_view(&self, watchers: usize) -> PeerView {
         let peers = self.membership.peers();
         let ready = |peer: &&Peer| peer.state == NodeState::Ready;
         let own = self.membership.own();
--- a/crates/hemlocktack-fleet/examples/fleet_runs/platform.rs
+++ b/crates/hemlocktack-fleet/examples/fleet_runs/platform.rs
@@ -1,35 +1,35 @@
-//! Stand-in for the platform: one document with a generation.
+//! Simulated platform: stores one configuration document with its generation.
 
 use std::time::Duration;
 
 use hemlocktack_protocol::{ConfigurationDocument, Generation};
 
-/// What the platform does to calls at this moment.
+/// How the platform treats calls at present.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Weather {
-    Fine,
-    Out,
+pub(crate) enum PlatformCondition {
+    Healthy,
+    Unavailable,
     Slow,
-    /// Writes take effect and their answers are lost.
+    /// Writes take effect but their answers are lost.
     LosesAnswers,
 }
 
-/// A watch that waits for a generation above one.
+/// A pending watch of a node for a generation above `above`.
 pub(crate) struct Watch {
     pub(crate) number: usize,
     pub(crate) above: Generation,
     pub(crate) ends: Duration,
 }
 
-/// The stored document and the outage that is on.
+/// The stored document and the present condition of the platform.
 pub(crate) struct Platform {
     pub(crate) stored: Option<ConfigurationDocument>,
-    pub(crate) weather: Weather,
-    pub(crate) weather_ends: Duration,
+    pub(crate) condition: PlatformCondition,
+    pub(crate) condition_ends: Duration,
     pub(crate) calls: u64,
     pub(crate) watches: Vec<Watch>,
-    /// When the weather last was not fine.
-    pub(crate) disturbed: Duration,
+    /// When the platform last was not healthy.
+    pub(crate) disturbed_at: Duration,
     /// When the stored document was written.
     pub(crate) written: Duration,
 }
@@ -38,11 +38,11 @@
     pub(crate) fn new() -> Self {
         let mut platform = Self {
             stored: None,
-            weather: Weather::Fine,
-            weather_ends: Duration::ZERO,
+            condition: PlatformCondition::Healthy,
+            condition_ends: Duration::ZERO,
             calls: 0,
             watches: Vec::new(),
-            disturbed: Duration::ZERO,
+            disturbed_at: Duration::ZERO,
             written: Duration::ZERO,
         };
         platform.write(Duration::ZERO, 0, "first".to_owned());
@@ -56,15 +56,15 @@
     }
 
     pub(crate) fn expire(&mut self, now: Duration) {
-        if now >= self.weather_ends {
-            self.weather = Weather::Fine;
+        if now >= self.condition_ends {
+            self.condition = PlatformCondition::Healthy;
         }
-        if self.weather != Weather::Fine {
-            self.disturbed = now;
+        if self.condition != PlatformCondition::Healthy {
+            self.disturbed_at = now;
         }
     }
 
-    /// Conditional update; `None` where the generation has moved on.
+    /// Writes a document if the stored generation is still `expected`; otherwise returns `None`.
     pub(crate) fn write(
         &mut self,
         now: Duration,
--- a/crates/hemlocktack-fleet/examples/fleet_runs/run.rs
+++ b/crates/hemlocktack-fleet/examples/fleet_runs/run.rs
@@ -1,48 +1,49 @@
-//! One run: faults, then healing.
+//! One run: injects faults, ends them, and checks that the fleet converges.
 
 use std::time::Duration;
 
 use crate::world::{Settings, World};
 
-/// What a run came to.
+/// Result of a run.
 pub(crate) struct Run {
-    /// Virtual time that passed.
+    /// Virtual time that the run took.
     pub(crate) virtual_time: Duration,
     /// Bytes sent by all nodes, IP and UDP headers included.
     pub(crate) bytes_sent: u64,
     /// Nodes in the fleet.
     pub(crate) nodes: usize,
-    /// Looks at undisturbed nodes, and how many found one suspected.
-    pub(crate) views: u64,
+    /// Observations of undisturbed nodes by other nodes.
+    pub(crate) observations: u64,
+    /// Those of the observations that found the node suspected.
     pub(crate) false_suspicions: u64,
-    /// The first broken rule.
+    /// First violation; ends the run.
     pub(crate) violation: Option<Violation>,
 }
 
-/// A broken rule.
+/// Violation of a guarantee.
 pub(crate) struct Violation {
-    /// Step at which it showed; `steps` for the settling at the end.
+    /// Step at which it was detected; the number of steps if after the end of the faults.
     pub(crate) step: u64,
-    /// Which rule, on which node.
+    /// What was violated, and on which node.
     pub(crate) rule: String,
-    /// What happened before.
+    /// Last events before the violation.
     pub(crate) trace: Vec<String>,
 }
 
-/// Runs `steps` faults and the settling after them.
+/// Injects `steps` faults, ends them all, and checks that the fleet converges.
 pub(crate) fn run(settings: Settings, seed: u64, steps: u64) -> Run {
     const WARM_UP: Duration = Duration::from_secs(20);
     let mut world = World::new(settings, seed);
-    let mut verdict = world.run_until(WARM_UP);
+    let mut outcome = world.run_until(WARM_UP);
     let mut step = 0;
-    while verdict.is_ok() && step < steps {
+    while outcome.is_ok() && step < steps {
         step += 1;
-        verdict = world.disturb(step);
+        outcome = world.inject_fault(step);
     }
-    if verdict.is_ok() {
-        verdict = world.heal();
+    if outcome.is_ok() {
+        outcome = world.heal();
     }
-    let violation = verdict.err().map(|rule| Violation {
+    let violation = outcome.err().map(|rule| Violation {
         step,
         rule,
         trace: world.trace().cloned().collect(),
@@ -51,7 +52,7 @@
         virtual_time: world.now,
         bytes_sent: world.bytes_sent,
         nodes: world.slots.len(),
-        views: world.checks.views,
+        observations: world.checks.observations,
         false_suspicions: world.checks.false_suspicions,
         violation,
     }
--- a/crates/hemlocktack-fleet/examples/fleet_runs/safeguards.rs
+++ b/crates/hemlocktack-fleet/examples/fleet_runs/safeguards.rs
@@ -1,4 +1,4 @@
-//! Names of the safeguards that a run can leave out.
+//! Names of the safeguards that a run can disable.
 
 use std::str::FromStr;
 
@@ -9,7 +9,7 @@
 
 use crate::world::Settings;
 
-/// All names, in the order of the mutation table.
+/// Returns the names of all safeguards, in the order of the mutation table.
 pub(crate) fn names() -> Vec<String> {
     let membership = MembershipSafeguard::iter().map(|safeguard| safeguard.to_string());
     let configuration = ConfigurationSafeguard::iter().map(|safeguard| safeguard.to_string());
@@ -17,7 +17,7 @@
     membership.chain(configuration).chain(drain).collect()
 }
 
-/// Settings with one safeguard left out, or with all.
+/// Returns settings with the named safeguard disabled, or with all enabled.
 pub(crate) fn settings(without: Option<&str>) -> Result<Settings, String> {
     let mut settings = Settings::default();
     let Some(name) = without else {
--- a/crates/hemlocktack-fleet/examples/fleet_runs/steps.rs
+++ b/crates/hemlocktack-fleet/examples/fleet_runs/steps.rs
@@ -1,4 +1,4 @@
-//! One event fed to the state machines of one process.
+//! Delivery of events to the state machines of a process.
 
 use std::time::Instant;
 
@@ -6,14 +6,14 @@
 use rand::seq::IteratorRandom;
 
 use crate::node::Process;
-use crate::platform::Weather;
+use crate::platform::PlatformCondition;
 use crate::world::{Event, SEED_COUNT, TICK_PERIOD, World};
 
 const RESEED_TICKS: u64 = 300;
 const ANNOUNCE_TICKS: u64 = 10;
 
 impl World {
-    /// Feeds one event to a process; whether the process has left.
+    /// Delivers one event to a process; returns whether the process has left the fleet.
     pub(crate) fn step(
         &mut self,
         number: usize,
@@ -27,7 +27,7 @@
                 let actions = process
                     .membership
                     .receive(instant, from, *gossip, &mut self.rng);
-                self.act(number, process, actions);
+                self.apply_membership_actions(number, process, actions);
             }
             Event::PullRequest { from, above } => self.answer_pull(number, process, from, above),
             Event::PullAnswer {
@@ -36,25 +36,29 @@
                 document,
             } => {
                 let actions = process
-                    .in_force
+                    .configuration
                     .peer_answered(instant, &from, in_force, document);
-                self.configure(number, process, actions)?;
+                self.apply_configuration_actions(number, process, actions)?;
             }
             Event::PullFailed { from } => {
-                process.in_force.peer_failed(instant, &from, &mut self.rng);
+                process
+                    .configuration
+                    .peer_failed(instant, &from, &mut self.rng);
             }
             Event::PlatformAnswer(document) => {
-                let view = process.peers_view(self.settings.configuration.watchers_per_data_centre);
+                let view = process.peer_view(self.settings.configuration.watchers_per_data_centre);
                 let rng = &mut self.rng;
                 let actions = process
-                    .in_force
+                    .configuration
                     .platform_answered(instant, document, &view, rng);
-                self.configure(number, process, actions)?;
+                self.apply_configuration_actions(number, process, actions)?;
             }
-            Event::PlatformFailed => process.in_force.platform_failed(instant, &mut self.rng),
+            Event::PlatformFailed => process
+                .configuration
+                .platform_failed(instant, &mut self.rng),
             Event::Stored(document) => {
-                let actions = process.in_force.stored_locally(document);
-                self.configure(number, process, actions)?;
+                let actions = process.configuration.stored_locally(document);
+                self.apply_configuration_actions(number, process, actions)?;
             }
             Event::Write {
                 expected,
@@ -72,18 +76,20 @@
         instant: Instant,
     ) -> Result<bool, String> {
         let next = Event::Tick(count + 1);
-        self.follow(number, TICK_PERIOD, next);
-        if count % RESEED_TICKS == RESEED_TICKS - 1 && self.platform.weather == Weather::Fine {
+        self.push_to_outbox(number, TICK_PERIOD, next);
+        if count % RESEED_TICKS == RESEED_TICKS - 1
+            && self.platform.condition == PlatformCondition::Healthy
+        {
             let others = self.slots.iter().map(|slot| slot.address);
             process
                 .membership
                 .set_seeds(others.sample(&mut self.rng, SEED_COUNT));
         }
         let actions = process.membership.tick(instant, &mut self.rng);
-        self.act(number, process, actions);
-        let view = process.peers_view(self.settings.configuration.watchers_per_data_centre);
-        let actions = process.in_force.tick(instant, &view, &mut self.rng);
-        self.configure(number, process, actions)?;
+        self.apply_membership_actions(number, process, actions);
+        let view = process.peer_view(self.settings.configuration.watchers_per_data_centre);
+        let actions = process.configuration.tick(instant, &view, &mut self.rng);
+        self.apply_configuration_actions(number, process, actions)?;
         if count.is_multiple_of(ANNOUNCE_TICKS) {
             let announcement = Announcement {
                 address: process.upstream_address,
@@ -91,12 +97,12 @@
                 is_cold: false,
                 is_other_start: false,
             };
-            let actions = process.life.announce(instant, announcement);
-            self.live(number, process, &actions);
+            let actions = process.lifecycle.announce(instant, announcement);
+            self.apply_lifecycle_actions(number, process, &actions);
         }
         process.in_flight = process.in_flight.saturating_sub(1);
-        let mut actions = process.life.check_upstream(instant);
-        actions.append(&mut process.life.check_stop(instant, process.in_flight));
-        Ok(self.live(number, process, &actions))
+        let mut actions = process.lifecycle.check_upstream(instant);
+        actions.append(&mut process.lifecycle.check_stop(instant, process.in_flight));
+        Ok(self.apply_lifecycle_actions(number, process, &actions))
     }
 }
--- a/crates/hemlocktack-fleet/examples/fleet_runs/world.rs
+++ b/crates/hemlocktack-fleet/examples/fleet_runs/world.rs
@@ -1,5 +1,4 @@
-//! A fleet of state machines in virtual time, with a network and a platform
-//! between them.
+//! A fleet of node state machines in virtual time, with a simulated network and platform.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -21,18 +20,16 @@
 
 pub(crate) const TICK_PERIOD: Duration = Duration::from_millis(100);
 pub(crate) const SEED_COUNT: usize = 3;
-/// Settings of all machines in a run.
+
+/// Settings of the state machines in a run.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Settings {
-    /// Of membership.
     pub(crate) membership: MembershipSettings,
-    /// Of configuration.
     pub(crate) configuration: ConfigurationSettings,
-    /// Of the life of nodes.
     pub(crate) drain: DrainSettings,
 }
 
-/// What happens next to one process.
+/// Event at one process.
 pub(crate) enum Event {
     Tick(u64),
     Datagram {
@@ -66,7 +63,7 @@
     event: Event,
 }
 
-/// The whole run.
+/// State of a run.
 pub(crate) struct World {
     pub(crate) settings: Settings,
     pub(crate) rng: StdRng,
@@ -80,13 +77,13 @@
     scheduled: BTreeMap<u64, Scheduled>,
     sequence: u64,
     pub(crate) bytes_sent: u64,
-    /// Events that the process at work has caused.
+    /// Events caused by the process that handles an event; scheduled once it is back in its slot.
     outbox: Vec<(usize, Duration, Event)>,
     trace: VecDeque<String>,
 }
 
 impl World {
-    /// Starts a fleet; `seed` decides everything.
+    /// Starts a fleet whose run is determined by `seed` alone.
     pub(crate) fn new(settings: Settings, seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let count = rng.random_range(5..12);
@@ -118,7 +115,7 @@
         self.base + self.now
     }
 
-    /// Notes a line for the trace of a violation.
+    /// Adds a line to the trace that is reported with a violation.
     pub(crate) fn note(&mut self, line: String) {
         const TRACE_LINES: usize = 200;
         if self.trace.len() == TRACE_LINES {
@@ -127,20 +124,20 @@
         self.trace.push_back(format!("{:>9.3?} {line}", self.now));
     }
 
-    /// The last lines of what happened.
+    /// Returns the last lines of the trace.
     pub(crate) fn trace(&self) -> impl Iterator<Item = &String> {
         self.trace.iter()
     }
 
     pub(crate) fn start(&mut self, number: usize) {
-        let floor = self.checks.settled;
+        let min_generation = self.checks.common_generation;
         let (now, instant) = (self.now, self.instant());
         let slot = &mut self.slots[number];
-        slot.start(&self.settings, now, instant, floor, &mut self.rng);
+        slot.start(&self.settings, now, instant, min_generation, &mut self.rng);
         slot.frozen_until = Duration::ZERO;
         self.reseed(number);
         self.schedule(number, Duration::ZERO, Event::Tick(0));
-        self.note(format!("start {number}"));
+        self.note(format!("node {number} starts"));
     }
 
     fn reseed(&mut self, number: usize) {
@@ -166,7 +163,7 @@
         self.scheduled.insert(self.sequence, scheduled);
     }
 
-    /// Runs all events until `end`, checking as time passes.
+    /// Handles all events until `end` and runs the periodic checks.
     pub(crate) fn run_until(&mut self, end: Duration) -> Result<(), String> {
         while let Some(Reverse((at, sequence))) = self.queue.peek().copied() {
             if at > end {
@@ -178,7 +175,7 @@
                 continue;
             };
             if self.network.expire(at) {
-                self.note("a cut ends".to_owned());
+                self.note("a network partition ends".to_owned());
             }
             self.platform.expire(at);
             self.check_if_due()?;
@@ -210,27 +207,29 @@
         };
         let outcome = self.step(number, &mut process, event, instant);
         let has_left = matches!(outcome, Ok(true));
-        let cut_off = has_left.then_some(process.in_flight);
+        let interrupted = has_left.then_some(process.in_flight);
         if has_left {
             let slot = &mut self.slots[number];
-            let could_tell = self.now.saturating_sub(slot.disturbed) >= LEAVING_LIMIT;
-            slot.left = could_tell.then_some((process.incarnation, self.now));
+            let could_announce = self.now.saturating_sub(slot.disturbed_at) >= LEAVING_LIMIT;
+            slot.left = could_announce.then_some((process.incarnation, self.now));
         } else {
             self.slots[number].process = Some(process);
         }
         self.send_outbox();
-        if let Some(cut_off) = cut_off {
-            self.slots[number].disturbed = self.now;
-            if cut_off > 0 {
-                return Err(format!("planned stop of {number} cuts off {cut_off} calls"));
+        if let Some(interrupted) = interrupted {
+            self.slots[number].disturbed_at = self.now;
+            if interrupted > 0 {
+                return Err(format!(
+                    "planned stop of node {number} interrupts {interrupted} calls"
+                ));
             }
-            self.note(format!("left {number}"));
+            self.note(format!("node {number} left"));
         }
         outcome.map(|_| ())
     }
 
-    /// Lets something happen to a running process's life.
-    pub(crate) fn with_life(
+    /// Changes the lifecycle of a running process and carries out the resulting actions.
+    pub(crate) fn with_lifecycle(
         &mut self,
         number: usize,
         change: impl FnOnce(&mut Process, Instant) -> Vec<LifecycleAction>,
@@ -240,7 +239,7 @@
             return;
         };
         let actions = change(&mut process, instant);
-        self.live(number, &mut process, &actions);
+        self.apply_lifecycle_actions(number, &mut process, &actions);
         self.slots[number].process = Some(process);
         self.send_outbox();
     }
@@ -251,7 +250,7 @@
         }
     }
 
-    pub(crate) fn follow(&mut self, to: usize, delay: Duration, event: Event) {
+    pub(crate) fn push_to_outbox(&mut self, to: usize, delay: Duration, event: Event) {
         self.outbox.push((to, delay, event));
     }
 }
