--- a/crates/hemlocktack-fleet/examples/fleet_size/main.rs
+++ b/crates/hemlocktack-fleet/examples/fleet_size/main.rs
@@ -1,5 +1,5 @@
-//! Membership at the aimed size, in virtual time: what it sends and computes,
-//! and how long news takes.
+//! Membership at the target fleet size, in virtual time: its traffic, its CPU time, and how long
+//! updates take to reach all nodes.
 //!
 //! `cargo run --release -p hemlocktack-fleet --example fleet_size -- --nodes 560`
 
@@ -12,8 +12,8 @@
 
 fn main() -> ExitCode {
     let mut options = Options::new();
-    options.optopt("", "nodes", "sizes of the fleet (560)", "LIST");
-    options.optflag("", "quick", "without the rolling upgrade");
+    options.optopt("", "nodes", "comma-separated fleet sizes (560)", "LIST");
+    options.optflag("", "quick", "skip the rolling upgrade");
     let Ok(matches) = options.parse(std::env::args().skip(1)) else {
         eprintln!("{}", options.usage("fleet_size"));
         return ExitCode::FAILURE;
--- a/crates/hemlocktack-fleet/examples/fleet_size/world.rs
+++ b/crates/hemlocktack-fleet/examples/fleet_size/world.rs
@@ -1,4 +1,4 @@
-//! Many memberships, and a network that delays and cuts.
+//! A fleet of membership state machines in virtual time, with a simulated network.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -29,7 +29,7 @@
     },
 }
 
-/// One node; `None` while it is down.
+/// One node; its `membership` is `None` while it is down.
 pub(crate) struct Node {
     pub(crate) membership: Option<Membership>,
     incarnation: u64,
@@ -40,11 +40,11 @@
 pub(crate) struct World {
     pub(crate) nodes: Vec<Node>,
     pub(crate) now: Duration,
-    /// Datagrams between the regions are lost.
-    pub(crate) regions_apart: bool,
-    /// Real time spent in the machines.
-    pub(crate) computing: Duration,
-    without: Option<MembershipSafeguard>,
+    /// Whether all datagrams between the regions are lost.
+    pub(crate) regions_partitioned: bool,
+    /// Real time spent in the state machines.
+    pub(crate) compute_time: Duration,
+    disabled_safeguard: Option<MembershipSafeguard>,
     base: Instant,
     rng: StdRng,
     queue: BinaryHeap<Reverse<(Duration, u64)>>,
@@ -57,11 +57,11 @@
     SocketAddr::from(([10, 0, 0, 1], FIRST_PORT + number as u16))
 }
 
-fn number_of(address: SocketAddr) -> usize {
-    usize::from(address.port()) - usize::from(address_base())
+fn node_at(address: SocketAddr) -> usize {
+    usize::from(address.port()) - usize::from(first_port())
 }
 
-fn address_base() -> u16 {
+fn first_port() -> u16 {
     address(0).port()
 }
 
@@ -74,7 +74,7 @@
 }
 
 impl World {
-    pub(crate) fn new(size: usize, without: Option<MembershipSafeguard>) -> Self {
+    pub(crate) fn new(size: usize, disabled_safeguard: Option<MembershipSafeguard>) -> Self {
         let node = |_| Node {
             membership: None,
             incarnation: 0,
@@ -84,9 +84,9 @@
         let mut world = Self {
             nodes: (0..size).map(node).collect(),
             now: Duration::ZERO,
-            regions_apart: false,
-            computing: Duration::ZERO,
-            without,
+            regions_partitioned: false,
+            compute_time: Duration::ZERO,
+            disabled_safeguard,
             base: Instant::now(),
             rng: StdRng::seed_from_u64(1),
             queue: BinaryHeap::new(),
@@ -117,7 +117,7 @@
             ..Member::default()
         };
         let settings = MembershipSettings {
-            disabled_safeguard: self.without,
+            disabled_safeguard: self.disabled_safeguard,
             ..MembershipSettings::default()
         };
         let mut membership = Membership::new(settings, own, self.base + self.now);
@@ -144,15 +144,15 @@
             slots: 45,
         };
         let actions = membership.update_own(publication, &mut self.rng);
-        self.act(number, actions);
+        self.apply_actions(number, actions);
     }
 
-    pub(crate) fn tell_generation(&mut self, number: usize, generation: u64) {
+    pub(crate) fn announce_generation(&mut self, number: usize, generation: u64) {
         let Some(membership) = &mut self.nodes[number].membership else {
             return;
         };
         let actions = membership.set_generation(generation, &mut self.rng);
-        self.act(number, actions);
+        self.apply_actions(number, actions);
     }
 
     pub(crate) fn run_for(&mut self, time: Duration) {
@@ -170,23 +170,24 @@
         self.now = end;
     }
 
-    /// Runs until it holds, looking ten times a second; the time it took.
+    /// Runs until `holds` returns true, which is checked every `TICK_PERIOD`; returns the time that
+    /// took, or `None` if it exceeded `limit`.
     pub(crate) fn run_until(
         &mut self,
         limit: Duration,
         holds: impl Fn(&World) -> bool,
     ) -> Option<Duration> {
-        let begun = self.now;
-        while self.now - begun < limit {
+        let started_at = self.now;
+        while self.now - started_at < limit {
             self.run_for(TICK_PERIOD);
             if holds(self) {
-                return Some(self.now - begun);
+                return Some(self.now - started_at);
             }
         }
         None
     }
 
-    /// State of one node in another's view.
+    /// Returns the incarnation and state of a node as `viewer` sees it.
     pub(crate) fn view(&self, viewer: usize, number: usize) -> Option<(u64, NodeState)> {
         let membership = self.nodes[viewer].membership.as_ref()?;
         let node_id = format!("service-{:02}-node-{number:03}", number / 6);
@@ -205,7 +206,7 @@
     }
 
     fn handle(&mut self, event: Event) {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let instant = self.base + self.now;
         let (number, actions) = match event {
             Event::Tick(number, incarnation) => {
@@ -221,7 +222,7 @@
                 (number, actions)
             }
             Event::Datagram { from, to, gossip } => {
-                let length = length(&gossip);
+                let length = datagram_bytes(&gossip);
                 let node = &mut self.nodes[to];
                 let Some(membership) = &mut node.membership else {
                     return;
@@ -231,29 +232,29 @@
                 let actions = membership.receive(instant, from, *gossip, &mut self.rng);
                 for action in &actions {
                     if let MembershipAction::NewerGenerationSeen { generation, .. } = action {
-                        // The pull over a link takes a few milliseconds.
-                        let told = membership.set_generation(*generation, &mut self.rng);
-                        self.computing += begun.elapsed();
-                        self.act(to, told);
+                        // Stands in for the pull over a link, which takes a few milliseconds.
+                        let announcements = membership.set_generation(*generation, &mut self.rng);
+                        self.compute_time += started_at.elapsed();
+                        self.apply_actions(to, announcements);
                         break;
                     }
                 }
                 (to, actions)
             }
         };
-        self.computing += begun.elapsed();
-        self.act(number, actions);
+        self.compute_time += started_at.elapsed();
+        self.apply_actions(number, actions);
     }
 
-    fn act(&mut self, from: usize, actions: Vec<MembershipAction>) {
+    fn apply_actions(&mut self, from: usize, actions: Vec<MembershipAction>) {
         for action in actions {
             let MembershipAction::Send { to, gossip } = action else {
                 continue;
             };
-            self.nodes[from].sent_bytes += length(&gossip);
-            let to = number_of(to);
+            self.nodes[from].sent_bytes += datagram_bytes(&gossip);
+            let to = node_at(to);
             let is_across = region_of(from) != region_of(to);
-            if is_across && self.regions_apart {
+            if is_across && self.regions_partitioned {
                 continue;
             }
             let delay_us = match is_across {
@@ -266,7 +267,7 @@
     }
 }
 
-fn length(gossip: &Gossip) -> u64 {
+fn datagram_bytes(gossip: &Gossip) -> u64 {
     const MAC_BYTES: usize = 32;
     (gossip.encoded_len() + MAC_BYTES + IP_AND_UDP_BYTES) as u64
 }
