--- a/crates/hemlocktack-fleet/examples/randomised/main.rs
+++ b/crates/hemlocktack-fleet/examples/randomised/main.rs
@@ -1,7 +1,7 @@
-//! Randomised runs of several nodes' state machines, with the promises checked.
+//! Randomised fault-injection runs of several nodes' state machines, whose guarantees are checked.
 //!
 //! `--seed N --steps M [--seeds COUNT] [--without SAFEGUARD] [--mutations]`. A
-//! broken promise prints its seed, step and trace, and the exit status is 1.
+//! violated guarantee is printed with its seed, step and trace, and the exit status is 1.
 
 mod world;
 
@@ -20,10 +20,10 @@
 fn main() -> ExitCode {
     let mut options = Options::new();
     options.optopt("", "seed", "first seed", "N");
-    options.optopt("", "steps", "events a seed", "M");
+    options.optopt("", "steps", "events per seed", "M");
     options.optopt("", "seeds", "number of seeds", "COUNT");
-    options.optopt("", "without", "safeguard to leave out", "SAFEGUARD");
-    options.optflag("", "mutations", "leave out each safeguard in turn");
+    options.optopt("", "without", "safeguard to disable", "SAFEGUARD");
+    options.optflag("", "mutations", "disable each safeguard in turn");
     let Ok(matches) = options.parse(std::env::args().skip(1)) else {
         eprintln!("{}", options.usage("randomised [options]"));
         return ExitCode::from(2);
@@ -63,12 +63,12 @@
         total.add(&outcome.counts);
         total_steps += outcome.steps;
     }
-    println!("{count} seeds from {first}, {total_steps} steps, no promise broken");
+    println!("{count} seeds from {first}, {total_steps} steps, no guarantee violated");
     println!("{total:?}");
     None
 }
 
-// An assertion inside the state machines counts as a broken promise.
+// A failed assertion inside the state machines counts as a violation.
 fn run_caught(
     seed: u64,
     steps: u64,
@@ -92,7 +92,7 @@
 }
 
 fn mutations(first: u64, steps: u64) -> ExitCode {
-    println!("| safeguard left out | seeds until found | what is broken |");
+    println!("| disabled safeguard | seeds until detected | violation |");
     println!("|---|---|---|");
     std::panic::set_hook(Box::new(|_| {}));
     for safeguard in Safeguard::iter() {
@@ -102,7 +102,7 @@
         let found = (first..first + MUTATION_SEED_LIMIT).find_map(|seed| {
             let violation = match run_caught(seed, steps, safeguards, false) {
                 Ok(outcome) => outcome.violation?,
-                Err(_) => "an assertion inside a state machine".to_owned(),
+                Err(_) => "failed assertion inside a state machine".to_owned(),
             };
             Some((seed - first + 1, violation))
         });
--- a/crates/hemlocktack-fleet/examples/randomised/world/callers.rs
+++ b/crates/hemlocktack-fleet/examples/randomised/world/callers.rs
@@ -1,13 +1,13 @@
-//! Callers: they send, wait, and send again through other nodes.
+//! Simulated callers: send requests, wait, and send again through other nodes.
 
 use hemlocktack_fleet::tickets::Ticket;
 
 use crate::world::events::{Event, NodeEvent};
-use crate::world::ledger::Told;
+use crate::world::ledger::ReplyOutcome;
 use crate::world::process::{EntryCall, Process};
 use crate::world::{At, RequestId, SendId, TimeMs, World};
 
-/// Numbers of deeper calls' requests begin here.
+/// First id of the requests of child calls.
 pub(crate) const FIRST_CHILD_REQUEST: RequestId = 1 << 40;
 
 const CALLER_TIMEOUT_MS: TimeMs = 700;
@@ -17,8 +17,8 @@
 pub(crate) struct Request {
     pub(crate) is_ticketed: bool,
     pub(crate) ticket: Option<Ticket>,
-    // A deeper call's ticket that the upstream of an idempotent request passes along.
-    pub(crate) passes: Option<Ticket>,
+    // Ticket for a child call, which the upstream of an idempotent request forwards.
+    pub(crate) forwarded_ticket: Option<Ticket>,
     pub(crate) child_count: u32,
     sends_left: u32,
 }
@@ -31,14 +31,14 @@
 
 impl World {
     pub(super) fn new_request(&mut self) {
-        if self.quiet {
+        if self.faults_ended {
             return;
         }
         let id = self.new_id();
-        let is_ticketed = self.chance(70);
-        let has_child = self.chance(40);
-        let passes = match !is_ticketed && has_child && self.chance(50) {
-            true => self.issue(true),
+        let is_ticketed = self.random_chance(70);
+        let has_child = self.random_chance(40);
+        let forwarded_ticket = match !is_ticketed && has_child && self.random_chance(50) {
+            true => self.issue_ticket(true),
             false => None,
         };
         let ticket = match is_ticketed {
@@ -48,29 +48,29 @@
         let request = Request {
             is_ticketed,
             ticket,
-            passes,
+            forwarded_ticket,
             child_count: u32::from(has_child),
             sends_left: SEND_LIMIT,
         };
         self.requests.insert(id, request);
-        self.after(0, Event::CallerSend(id));
-        if self.chance(15) {
-            let delay_ms = self.between(0, 50);
-            self.after(delay_ms, Event::CallerSend(id));
+        self.schedule_event(0, Event::CallerSend(id));
+        if self.random_chance(15) {
+            let delay_ms = self.random_between(0, 50);
+            self.schedule_event(delay_ms, Event::CallerSend(id));
         }
-        let delay_ms = self.between(1, 25);
-        self.after(delay_ms, Event::NewRequest);
+        let delay_ms = self.random_between(1, 25);
+        self.schedule_event(delay_ms, Event::NewRequest);
     }
 
-    // Now and then a faulty caller uses the ticket of its last request again.
+    // Occasionally simulates a faulty caller that reuses the ticket of the latest request.
     fn ticket_for_caller(&mut self) -> Option<Ticket> {
-        if self.chance(4)
+        if self.random_chance(4)
             && let Some((_, last)) = self.requests.last_key_value()
             && last.ticket.is_some()
         {
             return last.ticket.clone();
         }
-        self.issue(false)
+        self.issue_ticket(false)
     }
 
     pub(super) fn caller_send(&mut self, id: RequestId) {
@@ -92,12 +92,12 @@
         request.sends_left -= 1;
         let send = self.new_id();
         self.sends.insert(send, SendRecord { request: id, entry });
-        let delay_ms = self.between(1, 8);
-        self.after_at(delay_ms, entry, NodeEvent::CallerCall(send));
-        self.after(CALLER_TIMEOUT_MS, Event::CallerTimeout(send));
+        let delay_ms = self.random_between(1, 8);
+        self.schedule_node_event(delay_ms, entry, NodeEvent::CallerCall(send));
+        self.schedule_event(CALLER_TIMEOUT_MS, Event::CallerTimeout(send));
     }
 
-    /// The call reaches its entry node.
+    /// Handles a caller's call at its entry node.
     pub(super) fn caller_call(&mut self, process: &mut Process, send: SendId) {
         let Some(record) = self.sends.get(&send).copied() else {
             return;
@@ -111,8 +111,8 @@
             return;
         }
         let told = match call.ticket {
-            Some(_) => Told::Unknown,
-            None => Told::NotRun,
+            Some(_) => ReplyOutcome::Unknown,
+            None => ReplyOutcome::NotRun,
         };
         process.entries.insert(send, call);
         self.entry_reply(process, send, told);
@@ -124,11 +124,11 @@
         }
     }
 
-    pub(super) fn caller_reply(&mut self, send: SendId, told: Told) {
+    pub(super) fn caller_reply(&mut self, send: SendId, told: ReplyOutcome) {
         let percent = match told {
-            Told::Answered { .. } => 10,
-            Told::NotRun => 40,
-            Told::Unknown => 70,
+            ReplyOutcome::Answered { .. } => 10,
+            ReplyOutcome::NotRun => 40,
+            ReplyOutcome::Unknown => 70,
         };
         self.send_again(send, percent);
     }
@@ -137,9 +137,9 @@
         let Some(record) = self.sends.get(&send).copied() else {
             return;
         };
-        if self.chance(percent) {
-            let delay_ms = self.between(1, 400);
-            self.after(delay_ms, Event::CallerSend(record.request));
+        if self.random_chance(percent) {
+            let delay_ms = self.random_between(1, 400);
+            self.schedule_event(delay_ms, Event::CallerSend(record.request));
         }
     }
 }
--- a/crates/hemlocktack-fleet/examples/randomised/world/entry.rs
+++ b/crates/hemlocktack-fleet/examples/randomised/world/entry.rs
@@ -1,12 +1,12 @@
-//! The node that took a caller's call: finds the home or places the call.
+//! The node that received a caller's call: sends a ticketed call to its home, places any other.
 
 use hemlocktack_fleet::tickets::{Ticket, find_home};
 use hemlocktack_protocol::{Answer, CallPurpose, Outcome, Reason};
 
 use crate::world::events::{Event, NodeEvent};
-use crate::world::ledger::Told;
+use crate::world::ledger::ReplyOutcome;
 use crate::world::network::Reach;
-use crate::world::process::{Asker, EntryCall, Process, RunFor, Waiter};
+use crate::world::process::{EntryCall, Process, Requester, RunFor, Waiter};
 use crate::world::safeguards::Safeguard;
 use crate::world::upstream::{Work, read_answer};
 use crate::world::{At, RequestId, SendId, TimeMs, World, is_child, service_slots};
@@ -31,7 +31,7 @@
 impl World {
     pub(super) fn entry_begin(&mut self, process: &mut Process, send: SendId, call: EntryCall) {
         process.entries.insert(send, call);
-        self.after_at(
+        self.schedule_node_event(
             ENTRY_DEADLINE_MS,
             process.at,
             NodeEvent::EntryDeadline(send),
@@ -54,11 +54,11 @@
         match &work.ticket {
             Some(ticket) => {
                 let home = find_home(ticket, |home| process.successions.get(home).cloned());
-                let is_here = home == process.name
+                let is_own_home = home == process.name
                     || process.table.homes().any(|adopted| *adopted == ticket.home);
-                match is_here {
+                match is_own_home {
                     true => self.entry_is_home(process, work),
-                    false => self.send_to_home(process, work, at_of(&home)),
+                    false => self.send_to_home(process, work, start_of(&home)),
                 }
             }
             None => self.place(process, work),
@@ -70,7 +70,7 @@
         if let Some(call) = process.entries.get_mut(&send) {
             call.waiting_for = Some((process.at, 0));
         }
-        self.home_start(process, work, Asker::Local(send));
+        self.home_start(process, work, Requester::Local(send));
     }
 
     fn send_to_home(&mut self, process: &mut Process, work: Work, home: At) {
@@ -92,13 +92,13 @@
     }
 
     fn wait_for_link(&mut self, process: &mut Process, send: SendId, peer: At) {
-        self.after_at(1, process.at, NodeEvent::Dial(peer));
-        self.after_at(NO_LINK_WAIT_MS, process.at, NodeEvent::EntrySend(send));
+        self.schedule_node_event(1, process.at, NodeEvent::Dial(peer));
+        self.schedule_node_event(NO_LINK_WAIT_MS, process.at, NodeEvent::EntrySend(send));
     }
 
     fn place(&mut self, process: &mut Process, work: Work) {
         let slots = service_slots(is_child(work.request));
-        let slot = self.between(slots.start as u64, slots.end as u64 - 1) as usize;
+        let slot = self.random_between(slots.start as u64, slots.end as u64 - 1) as usize;
         let Some(known) = self.known_start(slot) else {
             return;
         };
@@ -134,41 +134,42 @@
         match answer.outcome() {
             Outcome::Answered => {
                 let Some((request, token)) = read_answer(&answer.body) else {
-                    self.ledger.violate(format!("send {send} got a cut answer"));
+                    self.ledger
+                        .record_violation(format!("send {send} got a truncated answer"));
                     return;
                 };
-                self.entry_reply(process, send, Told::Answered { request, token });
+                self.entry_reply(process, send, ReplyOutcome::Answered { request, token });
             }
-            // The home's word: the ticket is fenced.
-            Outcome::NotRun if is_ticketed => self.entry_reply(process, send, Told::NotRun),
-            Outcome::NotRun => self.entry_not_sent(process, send),
-            // The home is handing over: its successor will know.
+            // The home reports this only after it has fenced the ticket.
+            Outcome::NotRun if is_ticketed => self.entry_reply(process, send, ReplyOutcome::NotRun),
+            Outcome::NotRun => self.entry_send_not_run(process, send),
+            // The home is handing over its table; the successor decides.
             _ if is_ticketed && answer.reason() == Reason::Draining => {
-                self.entry_not_sent(process, send);
+                self.entry_send_not_run(process, send);
             }
-            _ if is_ticketed => self.entry_reply(process, send, Told::Unknown),
+            _ if is_ticketed => self.entry_reply(process, send, ReplyOutcome::Unknown),
             _ => self.entry_may_have_run(process, send),
         }
     }
 
-    /// This send came to nothing; another may be tried.
-    pub(super) fn entry_not_sent(&mut self, process: &mut Process, send: SendId) {
+    /// Sends again after a send that did not run, while placements are left.
+    pub(super) fn entry_send_not_run(&mut self, process: &mut Process, send: SendId) {
         let Some(call) = process.entries.get_mut(&send) else {
             return;
         };
         call.waiting_for = None;
         if call.placements_left > 0 {
             call.placements_left -= 1;
-            let delay_ms = self.between(1, 100);
-            self.after_at(delay_ms, process.at, NodeEvent::EntrySend(send));
+            let delay_ms = self.random_between(1, 100);
+            self.schedule_node_event(delay_ms, process.at, NodeEvent::EntrySend(send));
             return;
         }
-        let told = unfinished_told(call);
+        let told = outcome_without_answer(call);
         self.entry_reply(process, send, told);
     }
 
-    /// This send may have run. A ticket may be sent again to its home as often
-    /// as one likes; an idempotent call costs a retry.
+    /// Handles a send that may have run. A ticket may be sent to its home again any number of times;
+    /// sending an idempotent call again takes a retry.
     pub(super) fn entry_may_have_run(&mut self, process: &mut Process, send: SendId) {
         let Some(call) = process.entries.get_mut(&send) else {
             return;
@@ -176,12 +177,12 @@
         call.may_have_run = true;
         if call.ticket.is_none() {
             if call.retries_left == 0 {
-                self.entry_reply(process, send, Told::Unknown);
+                self.entry_reply(process, send, ReplyOutcome::Unknown);
                 return;
             }
             call.retries_left -= 1;
         }
-        self.entry_not_sent(process, send);
+        self.entry_send_not_run(process, send);
     }
 
     pub(super) fn entry_deadline(&mut self, process: &mut Process, send: SendId) {
@@ -189,37 +190,37 @@
             return;
         };
         let Some((peer, call_id)) = call.waiting_for else {
-            let told = unfinished_told(call);
+            let told = outcome_without_answer(call);
             self.entry_reply(process, send, told);
             return;
         };
-        if let Some(sends) = process.sends.get_mut(&peer) {
-            sends.abandon(call_id);
+        if let Some(pending_calls) = process.pending_calls.get_mut(&peer) {
+            pending_calls.abandon(call_id);
         }
-        self.entry_reply(process, send, Told::Unknown);
+        self.entry_reply(process, send, ReplyOutcome::Unknown);
     }
 
-    pub(super) fn entry_reply(&mut self, process: &mut Process, send: SendId, told: Told) {
+    pub(super) fn entry_reply(&mut self, process: &mut Process, send: SendId, told: ReplyOutcome) {
         let Some(call) = process.entries.remove(&send) else {
             return;
         };
         self.ledger
             .reply(call.request, call.ticket.is_some(), send, told);
-        let delay_ms = self.between(1, 30);
-        self.after(delay_ms, Event::Reply { send, told });
+        let delay_ms = self.random_between(1, 30);
+        self.schedule_event(delay_ms, Event::Reply { send, told });
     }
 }
 
-// For a ticket only the home can say `not_run`: an earlier send of the caller
-// may have come to it through another node.
-fn unfinished_told(call: &EntryCall) -> Told {
+// Only the home may report `not_run` for a ticket: an earlier send of the caller may have reached it
+// through another node.
+fn outcome_without_answer(call: &EntryCall) -> ReplyOutcome {
     match call.ticket.is_none() && !call.may_have_run {
-        true => Told::NotRun,
-        false => Told::Unknown,
+        true => ReplyOutcome::NotRun,
+        false => ReplyOutcome::Unknown,
     }
 }
 
-fn at_of(name: &hemlocktack_fleet::NodeIncarnation) -> At {
+fn start_of(name: &hemlocktack_fleet::NodeIncarnation) -> At {
     let slot = name
         .node_id
         .strip_prefix("node-")
--- a/crates/hemlocktack-fleet/examples/randomised/world/events.rs
+++ b/crates/hemlocktack-fleet/examples/randomised/world/events.rs
@@ -1,4 +1,4 @@
-//! What happens in the world, and when.
+//! Events of a run, ordered by their virtual time.
 
 use std::cmp::Ordering;
 
@@ -7,23 +7,23 @@
 use hemlocktack_protocol::CallId;
 use hemlocktack_protocol::frame::Body;
 
-use crate::world::ledger::Told;
+use crate::world::ledger::ReplyOutcome;
 use crate::world::{At, RequestId, RunId, SendId, TimeMs};
 
 #[derive(Clone, Debug)]
 pub(crate) enum Event {
-    /// Happens to the world as a whole.
+    // Events that concern no particular process.
     Fault,
     NewRequest,
     CallerSend(RequestId),
     CallerTimeout(SendId),
     Reply {
         send: SendId,
-        told: Told,
+        told: ReplyOutcome,
     },
     Restart(usize),
     Wake(At),
-    /// Happens at one start of one node, later if that is frozen.
+    /// Event at one process; deferred while that is frozen.
     At(At, NodeEvent),
 }
 
--- a/crates/hemlocktack-fleet/examples/randomised/world/faults.rs
+++ b/crates/hemlocktack-fleet/examples/randomised/world/faults.rs
@@ -1,4 +1,4 @@
-//! Faults, and the end of all faults.
+//! Injects faults, and ends them all.
 
 use crate::world::events::Event;
 use crate::world::process::RunEnd;
@@ -6,10 +6,10 @@
 
 type Fault = fn(&mut World, usize);
 
-/// How often which fault happens, drawn for each seed.
+/// Relative rates of the faults, drawn for each seed.
 ///
-/// Runs with every fault at its usual rate rarely get two of the same kind in
-/// a row; a run without cuts and with many kills does.
+/// With every fault at its usual rate, two of the same kind rarely follow each other; in a run
+/// without cuts and with many kills they do.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct FaultRates {
     kill: u32,
@@ -44,17 +44,17 @@
 }
 
 impl World {
-    pub(super) fn fault(&mut self) {
-        if self.quiet {
+    pub(super) fn inject_fault(&mut self) {
+        if self.faults_ended {
             return;
         }
-        let slot = self.between(0, SLOT_COUNT as u64 - 1) as usize;
+        let slot = self.random_between(0, SLOT_COUNT as u64 - 1) as usize;
         let rates = self.fault_rates;
-        let mut drawn = self.between(0, u64::from(rates.sum())) as u32;
+        let mut drawn = self.random_between(0, u64::from(rates.sum())) as u32;
         let faults: [(u32, Fault); 6] = [
             (rates.kill, World::kill),
             (rates.freeze, World::freeze),
-            (rates.cut, |world, _| world.cut_some()),
+            (rates.cut, |world, _| world.cut_random_link()),
             (rates.partition, World::partition),
             (rates.stop, World::stop),
             (rates.crash_upstream, World::crash_upstream),
@@ -66,8 +66,8 @@
             }
             drawn -= rate;
         }
-        let delay_ms = self.between(5, rates.interval_ms);
-        self.after(delay_ms, Event::Fault);
+        let delay_ms = self.random_between(5, rates.interval_ms);
+        self.schedule_event(delay_ms, Event::Fault);
     }
 
     fn kill(&mut self, slot: usize) {
@@ -75,14 +75,14 @@
             return;
         };
         self.ledger.counts.kills += 1;
-        self.note(|| format!("kill {}", process.name));
+        self.trace_line(|| format!("kill {}", process.name));
         self.cut_all(process.at);
-        // Soon enough, now and then, for frames to the start before to be still under way.
-        let delay_ms = match self.chance(50) {
-            true => self.between(1, 30),
-            false => self.between(30, 600),
+        // In half of the cases early enough that frames to the previous process are still in flight.
+        let delay_ms = match self.random_chance(50) {
+            true => self.random_between(1, 30),
+            false => self.random_between(30, 600),
         };
-        self.after(delay_ms, Event::Restart(slot));
+        self.schedule_event(delay_ms, Event::Restart(slot));
     }
 
     fn freeze(&mut self, slot: usize) {
@@ -95,9 +95,9 @@
         process.frozen = true;
         let at = process.at;
         self.ledger.counts.freezes += 1;
-        // Longer than every timeout, now and then.
-        let delay_ms = self.between(20, 3000);
-        self.after(delay_ms, Event::Wake(at));
+        // Sometimes longer than every timeout.
+        let delay_ms = self.random_between(20, 3000);
+        self.schedule_event(delay_ms, Event::Wake(at));
     }
 
     pub(super) fn wake(&mut self, at: At) {
@@ -110,11 +110,11 @@
         process.frozen = false;
         let deferred = std::mem::take(&mut process.deferred);
         for event in deferred {
-            self.after(0, event);
+            self.schedule_event(0, event);
         }
     }
 
-    fn cut_some(&mut self) {
+    fn cut_random_link(&mut self) {
         let pairs: Vec<_> = self.open_sessions.keys().copied().collect();
         if let Some((one, other)) = self.pick(&pairs) {
             self.ledger.counts.cuts += 1;
@@ -123,8 +123,8 @@
     }
 
     fn partition(&mut self, slot: usize) {
-        let other = self.between(0, SLOT_COUNT as u64 - 1) as usize;
-        let until_ms = self.now_ms + self.between(50, 2500);
+        let other = self.random_between(0, SLOT_COUNT as u64 - 1) as usize;
+        let until_ms = self.now_ms + self.random_between(50, 2500);
         self.partitioned_until
             .insert((slot.min(other), slot.max(other)), until_ms);
         let pairs: Vec<_> = self.open_sessions.keys().copied().collect();
@@ -146,9 +146,9 @@
         let Some(mut process) = self.processes[slot].take() else {
             return;
         };
-        self.note(|| format!("planned stop of {}", process.name));
+        self.trace_line(|| format!("planned stop of {}", process.name));
         self.plan_stop(&mut process);
-        self.put_back(process);
+        self.return_process(process);
     }
 
     fn crash_upstream(&mut self, slot: usize) {
@@ -164,9 +164,9 @@
         }
     }
 
-    /// No further requests and faults; everybody awake and reachable.
-    pub(super) fn quieten(&mut self) {
-        self.quiet = true;
+    /// Stops new requests and faults, resumes frozen processes and ends all partitions.
+    pub(super) fn end_faults(&mut self) {
+        self.faults_ended = true;
         self.partitioned_until.clear();
         let frozen: Vec<_> = self
             .processes
@@ -175,7 +175,7 @@
             .map(|process| process.at)
             .collect();
         for at in frozen {
-            self.after(0, Event::Wake(at));
+            self.schedule_event(0, Event::Wake(at));
         }
     }
 }
--- a/crates/hemlocktack-fleet/examples/randomised/world/home.rs
+++ b/crates/hemlocktack-fleet/examples/randomised/world/home.rs
@@ -1,20 +1,20 @@
-//! The home of a ticket: joins, starts, delegates, refuses.
+//! The home of a ticket: joins, starts, delegates or refuses its request.
 
 use hemlocktack_fleet::tickets::{Nonce, StartDecision, Ticket};
 use hemlocktack_protocol::{Answer, CallFailure, CallId, CallPurpose, Outcome, Reason};
 
 use crate::world::events::NodeEvent;
-use crate::world::network::{Reach, unfinished, unfinished_for};
-use crate::world::process::{Asker, HomeCall, Process, RunEnd, RunFor, Waiter};
+use crate::world::network::{Reach, failure_answer, failure_answer_with_reason};
+use crate::world::process::{HomeCall, Process, Requester, RunEnd, RunFor, Waiter};
 use crate::world::safeguards::Safeguard;
-use crate::world::upstream::{Work, shared};
+use crate::world::upstream::{Work, to_shared_answer};
 use crate::world::{At, TimeMs, World, is_child, name_of, service_slots};
 
 const DELEGATE_DEADLINE_MS: TimeMs = 1000;
-const TRY_LIMIT: u32 = 5;
+const ATTEMPT_LIMIT: u32 = 5;
 
 impl World {
-    pub(super) fn home_start(&mut self, process: &mut Process, work: Work, asker: Asker) {
+    pub(super) fn home_start(&mut self, process: &mut Process, work: Work, requester: Requester) {
         let Some(ticket) = work.ticket.clone() else {
             return;
         };
@@ -23,16 +23,16 @@
             ticket: Some(ticket.clone()),
             ..work
         };
-        let forgetful = match self.safeguards.has(Safeguard::FenceWhileStopping) {
+        let discarded_table = match self.safeguards.has(Safeguard::FenceWhileStopping) {
             true => None,
-            // A copy, so that nothing remembers what was told.
+            // Works on a copy, so that the table does not record the refusal.
             false => process.stop.as_ref().map(|_| process.table.clone()),
         };
         let fingerprint = match self.safeguards.has(Safeguard::RequestBound) {
             true => work.request,
             false => 0,
         };
-        let start = match forgetful {
+        let start = match discarded_table {
             Some(mut table) => table.start(&ticket, fingerprint),
             None => process.table.start(&ticket, fingerprint),
         };
@@ -41,22 +41,24 @@
                 if ticket.home != process.name {
                     self.ledger.counts.adopted_starts += 1;
                 }
-                self.let_in(process, work, ticket, asker);
+                self.admit(process, work, ticket, requester);
             }
             StartDecision::Join => {
                 self.ledger.counts.joins += 1;
-                self.join(process, work, ticket, asker);
+                self.join(process, work, ticket, requester);
             }
-            StartDecision::Answered(answer) => self.end_asker(process, asker, &answer),
+            StartDecision::Answered(answer) => self.answer_requester(process, requester, &answer),
             StartDecision::AnswerNotKept => {
-                let answer = unfinished_for(Outcome::Unknown, Reason::AnswerNotKept);
-                self.end_asker(process, asker, &answer);
+                let answer = failure_answer_with_reason(Outcome::Unknown, Reason::AnswerNotKept);
+                self.answer_requester(process, requester, &answer);
+            }
+            StartDecision::Refused(refused) => {
+                self.handle_refusal(process, work, requester, refused)
             }
-            StartDecision::Refused(refused) => self.refused(process, work, asker, refused),
         }
     }
 
-    // Without the safeguard: the node goes by its name, which outlives its memory.
+    // Without the safeguard a node is identified by its name alone, which outlives its table.
     fn as_seen_by_home(&self, process: &Process, ticket: Ticket) -> Ticket {
         let same_name = ticket.home.node_id == process.name.node_id;
         if self.safeguards.has(Safeguard::HomeIncarnation) || !same_name {
@@ -64,17 +66,17 @@
         }
         let epoch = process.table.current_epoch();
         let home = process.name.clone();
-        let issued = Ticket::issue(
+        let reissued = Ticket::issue(
             &self.keys,
             ticket.service.clone(),
             home,
             epoch,
             ticket.nonce,
         );
-        issued.unwrap_or(ticket)
+        reissued.unwrap_or(ticket)
     }
 
-    fn let_in(&mut self, process: &mut Process, work: Work, ticket: Ticket, asker: Asker) {
+    fn admit(&mut self, process: &mut Process, work: Work, ticket: Ticket, requester: Requester) {
         let nonce = ticket.nonce;
         let Work { request, send, .. } = work;
         let call = HomeCall {
@@ -82,43 +84,49 @@
             send,
             ticket,
             delegate: None,
-            tries_left: TRY_LIMIT,
+            attempts_left: ATTEMPT_LIMIT,
         };
         process.home_calls.insert(nonce, call);
-        process.askers.entry(nonce).or_default().push(asker);
-        let step_count = if self.chance(20) { 2 } else { 1 };
+        process.requesters.entry(nonce).or_default().push(requester);
+        let step_count = if self.random_chance(20) { 2 } else { 1 };
         for _ in 0..step_count {
-            let delay_ms = self.between(0, 40);
-            self.after_at(delay_ms, process.at, NodeEvent::HomeStep(nonce));
+            let delay_ms = self.random_between(0, 40);
+            self.schedule_node_event(delay_ms, process.at, NodeEvent::HomeStep(nonce));
         }
     }
 
-    fn join(&mut self, process: &mut Process, work: Work, ticket: Ticket, asker: Asker) {
+    fn join(&mut self, process: &mut Process, work: Work, ticket: Ticket, requester: Requester) {
         let nonce = ticket.nonce;
         if !process.home_calls.contains_key(&nonce) && process.told_not_run.contains(&nonce) {
-            self.let_in(process, work, ticket, asker);
+            self.admit(process, work, ticket, requester);
             return;
         }
-        process.askers.entry(nonce).or_default().push(asker);
+        process.requesters.entry(nonce).or_default().push(requester);
         if !self.safeguards.has(Safeguard::Join) {
             self.begin_run(process, RunFor::Home(nonce), &work);
         }
     }
 
-    fn refused(&mut self, process: &mut Process, work: Work, asker: Asker, refused: CallFailure) {
-        let ignored = match refused {
+    fn handle_refusal(
+        &mut self,
+        process: &mut Process,
+        work: Work,
+        requester: Requester,
+        refused: CallFailure,
+    ) {
+        let is_ignored = match refused {
             CallFailure::Unknown(Reason::TicketExpired) => !self.safeguards.has(Safeguard::Expiry),
             CallFailure::Unknown(Reason::Draining) => !self.safeguards.has(Safeguard::Freeze),
             _ => false,
         };
-        match (ignored, asker) {
-            (true, Asker::Peer { from, call_id }) => {
+        match (is_ignored, requester) {
+            (true, Requester::Peer { from, call_id }) => {
                 self.begin_run(process, RunFor::Peer { from, call_id }, &work);
             }
-            (true, Asker::Local(send)) => self.begin_run(process, RunFor::Local(send), &work),
+            (true, Requester::Local(send)) => self.begin_run(process, RunFor::Local(send), &work),
             (false, _) => {
-                let answer = unfinished_for(refused.outcome(), refused.reason());
-                self.end_asker(process, asker, &answer);
+                let answer = failure_answer_with_reason(refused.outcome(), refused.reason());
+                self.answer_requester(process, requester, &answer);
             }
         }
     }
@@ -127,13 +135,13 @@
         let Some(call) = process.home_calls.get_mut(&nonce) else {
             return;
         };
-        if call.tries_left == 0 {
+        if call.attempts_left == 0 {
             self.refuse(process, nonce, Reason::QueueFull);
             return;
         }
-        call.tries_left -= 1;
+        call.attempts_left -= 1;
         let starts_here = process.stop.is_none() || !self.safeguards.has(Safeguard::DrainRefuses);
-        match self.between(0, 99) {
+        match self.random_between(0, 99) {
             0..50 if starts_here => self.start_here(process, nonce),
             0..80 => self.delegate(process, nonce),
             80..90 => self.refuse(process, nonce, Reason::Shed),
@@ -142,8 +150,8 @@
     }
 
     fn step_later(&mut self, process: &Process, nonce: Nonce) {
-        let delay_ms = self.between(1, 60);
-        self.after_at(delay_ms, process.at, NodeEvent::HomeStep(nonce));
+        let delay_ms = self.random_between(1, 60);
+        self.schedule_node_event(delay_ms, process.at, NodeEvent::HomeStep(nonce));
     }
 
     fn start_here(&mut self, process: &mut Process, nonce: Nonce) {
@@ -162,7 +170,7 @@
             return;
         };
         let slots = service_slots(is_child(work.request));
-        let slot = self.between(slots.start as u64, slots.end as u64 - 1) as usize;
+        let slot = self.random_between(slots.start as u64, slots.end as u64 - 1) as usize;
         let known = self
             .known_start(slot)
             .filter(|known| known.at != process.at);
@@ -171,7 +179,7 @@
             return;
         };
         if self.reach(process, known.at) != Reach::Linked {
-            self.after_at(1, process.at, NodeEvent::Dial(known.at));
+            self.schedule_node_event(1, process.at, NodeEvent::Dial(known.at));
             self.step_later(process, nonce);
             return;
         }
@@ -196,18 +204,22 @@
         let call = work.to_call(call_id, CallPurpose::Delegated);
         self.send_call(process, to, call, Waiter::Delegated(nonce));
         let deadline = NodeEvent::DelegateDeadline { nonce, call_id };
-        self.after_at(DELEGATE_DEADLINE_MS, process.at, deadline);
+        self.schedule_node_event(DELEGATE_DEADLINE_MS, process.at, deadline);
     }
 
     pub(super) fn refuse(&mut self, process: &mut Process, nonce: Nonce, reason: Reason) {
         let refused = match self.safeguards.has(Safeguard::FenceOnRefusal) {
             true => process.table.refuse(nonce, reason).is_ok(),
-            // On a copy, so that the ticket stays startable.
+            // Works on a copy, so that the ticket can still start.
             false => process.table.clone().refuse(nonce, reason).is_ok(),
         };
         if refused {
             process.told_not_run.insert(nonce);
-            self.end(process, nonce, &unfinished_for(Outcome::NotRun, reason));
+            self.end_ticket(
+                process,
+                nonce,
+                &failure_answer_with_reason(Outcome::NotRun, reason),
+            );
         }
     }
 
@@ -223,8 +235,12 @@
                 if !self.safeguards.has(Safeguard::DelegationRecorded) {
                     let _ = process.table.mark_started(nonce);
                 }
-                if process.table.record_answer(nonce, shared(&answer)).is_ok() {
-                    self.end(process, nonce, &answer);
+                if process
+                    .table
+                    .record_answer(nonce, to_shared_answer(&answer))
+                    .is_ok()
+                {
+                    self.end_ticket(process, nonce, &answer);
                 }
             }
             Outcome::NotRun => self.delegate_not_run(process, nonce, from),
@@ -248,10 +264,10 @@
             .record_unknown(nonce, Reason::LinkLost)
             .is_ok()
         {
-            self.end(
+            self.end_ticket(
                 process,
                 nonce,
-                &unfinished_for(Outcome::Unknown, Reason::LinkLost),
+                &failure_answer_with_reason(Outcome::Unknown, Reason::LinkLost),
             );
         }
     }
@@ -269,8 +285,11 @@
         let Some((to, _)) = delegate.filter(|(_, current)| *current == call_id) else {
             return;
         };
-        let sends = process.sends.get_mut(&to);
-        if sends.and_then(|sends| sends.abandon(call_id)).is_some() {
+        let pending_calls = process.pending_calls.get_mut(&to);
+        if pending_calls
+            .and_then(|pending_calls| pending_calls.abandon(call_id))
+            .is_some()
+        {
             self.delegate_unknown(process, nonce, to);
         }
     }
@@ -283,7 +302,9 @@
         answer: Answer,
     ) {
         let recorded = match run_end {
-            RunEnd::Answer => process.table.record_answer(nonce, shared(&answer)),
+            RunEnd::Answer => process
+                .table
+                .record_answer(nonce, to_shared_answer(&answer)),
             RunEnd::Failed => process.table.record_unknown(nonce, Reason::UpstreamFailed),
             RunEnd::Shed => {
                 if process.table.requeue(nonce).is_ok() {
@@ -293,22 +314,22 @@
             }
         };
         if recorded.is_ok() {
-            self.end(process, nonce, &answer);
+            self.end_ticket(process, nonce, &answer);
         }
     }
 
-    /// Everybody who waits for the ticket gets the same end.
-    pub(super) fn end(&mut self, process: &mut Process, nonce: Nonce, answer: &Answer) {
+    /// Ends a ticket with the same answer for everyone who waits for it.
+    pub(super) fn end_ticket(&mut self, process: &mut Process, nonce: Nonce, answer: &Answer) {
         process.home_calls.remove(&nonce);
-        for asker in process.askers.remove(&nonce).unwrap_or_default() {
-            self.end_asker(process, asker, answer);
+        for requester in process.requesters.remove(&nonce).unwrap_or_default() {
+            self.answer_requester(process, requester, answer);
         }
     }
 
-    fn end_asker(&mut self, process: &mut Process, asker: Asker, answer: &Answer) {
-        match asker {
-            Asker::Local(send) => self.entry_answer(process, send, answer),
-            Asker::Peer { from, call_id } => {
+    fn answer_requester(&mut self, process: &mut Process, requester: Requester, answer: &Answer) {
+        match requester {
+            Requester::Local(send) => self.entry_answer(process, send, answer),
+            Requester::Peer { from, call_id } => {
                 self.reply_peer(process, from, call_id, answer.clone());
             }
         }
@@ -325,7 +346,7 @@
     }
 }
 
-/// Tells those whose waiting request the freeze of the table has fenced.
+/// Returns the tickets whose waiting requests were fenced when the table was frozen.
 pub(crate) fn fenced_by_freeze(process: &Process) -> Vec<Nonce> {
     let is_fenced = |nonce: &&Nonce| process.table.outcome_of(**nonce).is_some();
     process
@@ -339,6 +360,6 @@
 pub(crate) fn fenced_answer() -> Answer {
     Answer {
         reason: Reason::Draining.into(),
-        ..unfinished(Outcome::NotRun)
+        ..failure_answer(Outcome::NotRun)
     }
 }
--- a/crates/hemlocktack-fleet/examples/randomised/world/ledger.rs
+++ b/crates/hemlocktack-fleet/examples/randomised/world/ledger.rs
@@ -1,38 +1,40 @@
-//! What callers were told and what upstreams started; the promises between them.
+//! Record of the outcomes reported to callers and of the requests that upstreams started, and the
+//! guarantees that connect the two.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::world::{At, RequestId, SendId, TimeMs};
 
-/// What a caller is told.
+/// Outcome that is reported to a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Told {
+pub(crate) enum ReplyOutcome {
     Answered { request: RequestId, token: u64 },
     NotRun,
     Unknown,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct StartOfRun {
+pub(crate) struct RunStart {
     pub(crate) send: SendId,
     pub(crate) token: u64,
 }
 
-/// A broken promise, in words.
+/// Description of a violated guarantee.
 pub(crate) type Violation = String;
 
 #[derive(Debug, Default)]
 pub(crate) struct Ledger {
-    starts: BTreeMap<RequestId, Vec<StartOfRun>>,
+    starts: BTreeMap<RequestId, Vec<RunStart>>,
     not_run_requests: BTreeSet<RequestId>,
     not_run_sends: BTreeSet<SendId>,
     answers: BTreeMap<RequestId, u64>,
-    replies: BTreeMap<SendId, Told>,
+    replies: BTreeMap<SendId, ReplyOutcome>,
     pub(crate) violation: Option<Violation>,
     pub(crate) counts: Counts,
 }
 
-/// How often what happened; a run in which nothing happens proves nothing.
+/// Counts of the events of a run. They show that the events under test occur at all: a run without
+/// them proves nothing.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Counts {
     pub(crate) starts: u64,
@@ -70,61 +72,70 @@
     }
 }
 
-// One run and one retry: what the entry may spend on one send.
+// The entry node may run an idempotent send once and retry it once.
 pub(crate) const IDEMPOTENT_STARTS_PER_SEND: usize = 2;
 
 impl Ledger {
-    pub(crate) fn violate(&mut self, violation: Violation) {
+    pub(crate) fn record_violation(&mut self, violation: Violation) {
         self.violation.get_or_insert(violation);
     }
 
-    pub(crate) fn start(&mut self, request: RequestId, ticketed: bool, start: StartOfRun) {
+    pub(crate) fn start(&mut self, request: RequestId, ticketed: bool, start: RunStart) {
         self.counts.starts += 1;
         let starts = self.starts.entry(request).or_default();
         starts.push(start);
-        let of_send = starts
+        let starts_of_send = starts
             .iter()
             .filter(|other| other.send == start.send)
             .count();
         let start_count = starts.len();
         if ticketed && start_count > 1 {
-            self.violate(format!("request {request} started {start_count} times"));
+            self.record_violation(format!("request {request} started {start_count} times"));
         }
         if ticketed && self.not_run_requests.contains(&request) {
-            self.violate(format!(
-                "request {request} started after its caller was told not_run"
+            self.record_violation(format!(
+                "request {request} started after it was reported not_run"
             ));
         }
         if !ticketed && self.not_run_sends.contains(&start.send) {
-            self.violate(format!(
-                "send {} started after it was told not_run",
+            self.record_violation(format!(
+                "send {} started after it was reported not_run",
                 start.send
             ));
         }
-        if !ticketed && of_send > IDEMPOTENT_STARTS_PER_SEND {
-            self.violate(format!("send {} started {of_send} times", start.send));
+        if !ticketed && starts_of_send > IDEMPOTENT_STARTS_PER_SEND {
+            self.record_violation(format!(
+                "send {} started {starts_of_send} times",
+                start.send
+            ));
         }
     }
 
-    pub(crate) fn reply(&mut self, request: RequestId, ticketed: bool, send: SendId, told: Told) {
+    pub(crate) fn reply(
+        &mut self,
+        request: RequestId,
+        ticketed: bool,
+        send: SendId,
+        told: ReplyOutcome,
+    ) {
         if let Some(earlier) = self.replies.insert(send, told) {
-            self.violate(format!(
+            self.record_violation(format!(
                 "send {send} ended twice: {earlier:?}, then {told:?}"
             ));
         }
         match told {
-            Told::Answered {
+            ReplyOutcome::Answered {
                 request: answered,
                 token,
             } => {
                 self.counts.answered += 1;
                 self.check_answer(request, ticketed, answered, token);
             }
-            Told::NotRun => {
+            ReplyOutcome::NotRun => {
                 self.counts.not_run += 1;
                 self.check_not_run(request, ticketed, send);
             }
-            Told::Unknown => self.counts.unknown += 1,
+            ReplyOutcome::Unknown => self.counts.unknown += 1,
         }
     }
 
@@ -140,19 +151,19 @@
         token: u64,
     ) {
         if request != answered {
-            self.violate(format!(
+            self.record_violation(format!(
                 "request {request} got the answer of request {answered}"
             ));
         }
         let starts = self.starts.get(&request).map_or(&[][..], Vec::as_slice);
         if !starts.iter().any(|start| start.token == token) {
-            self.violate(format!(
-                "request {request} got an answer that no run of it gave"
+            self.record_violation(format!(
+                "request {request} got an answer that none of its runs returned"
             ));
         }
         let first = *self.answers.entry(request).or_insert(token);
         if ticketed && first != token {
-            self.violate(format!("request {request} got two different answers"));
+            self.record_violation(format!("request {request} got two different answers"));
         }
     }
 
@@ -163,8 +174,8 @@
             false => starts.iter().any(|start| start.send == send),
         };
         if started {
-            self.violate(format!(
-                "request {request} was told not_run and had started"
+            self.record_violation(format!(
+                "request {request} was reported not_run although it had started"
             ));
         }
         match ticketed {
@@ -173,10 +184,10 @@
         };
     }
 
-    pub(crate) fn start_while_stopping(&mut self, at: At, since_ms: TimeMs) {
+    pub(crate) fn check_start_while_stopping(&mut self, at: At, since_ms: TimeMs) {
         if since_ms > STOPPING_START_LIMIT_MS {
-            self.violate(format!(
-                "node {} got new work {since_ms} ms after its stop",
+            self.record_violation(format!(
+                "node {} started a request {since_ms} ms after its stop began",
                 at.slot
             ));
         }
--- a/crates/hemlocktack-fleet/examples/randomised/world/mod.rs
+++ b/crates/hemlocktack-fleet/examples/randomised/world/mod.rs
@@ -1,9 +1,8 @@
 //! Several nodes' state machines in virtual time, under faults.
 //!
-//! The world plays the parts that the node's input and output plays in earnest:
-//! links, callers, upstreams, and the order in which things happen. It decides
-//! nothing of its own where the state machines decide, and compares what
-//! upstreams started with what callers were told.
+//! `World` simulates what surrounds the state machines: links, callers, upstreams, and the order of
+//! events. It makes no decision that belongs to the state machines, and compares the requests that
+//! upstreams started with the outcomes reported to callers.
 
 mod callers;
 mod entry;
@@ -39,7 +38,7 @@
 pub(crate) type SendId = u64;
 pub(crate) type RunId = u64;
 
-/// One start of the node in one slot.
+/// One process of the node in a slot, from its start to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct At {
     pub(crate) slot: usize,
@@ -49,9 +48,9 @@
 const BOOKINGS_SLOTS: std::ops::Range<usize> = 0..4;
 const SLOT_COUNT: usize = 6;
 const TRACE_LIMIT_LINES: usize = 400;
-const QUIET_LIMIT_EVENTS: u64 = 200_000;
+const SETTLE_LIMIT_EVENTS: u64 = 200_000;
 
-/// What a run found.
+/// Result of a run.
 #[derive(Debug)]
 pub(crate) struct Outcome {
     pub(crate) steps: u64,
@@ -68,7 +67,7 @@
     sequence: u64,
     keys: FleetKeys,
     processes: Vec<Option<Process>>,
-    // What gossip says of each slot's starts: the latest last, with its epoch.
+    // Processes of each slot that gossip has announced, the latest last, with their ticket epochs.
     known_starts: Vec<Vec<KnownStart>>,
     successions: Vec<(NodeIncarnation, NodeIncarnation)>,
     next_incarnation: u64,
@@ -81,7 +80,7 @@
     ledger: Ledger,
     safeguards: Safeguards,
     fault_rates: FaultRates,
-    quiet: bool,
+    faults_ended: bool,
     trace: Option<VecDeque<String>>,
 }
 
@@ -91,7 +90,7 @@
     epoch: u64,
 }
 
-/// Runs one seed for a number of events, then lets everything come to its end.
+/// Runs one seed for a number of events, then ends all faults and lets open calls complete.
 pub(crate) fn run(seed: u64, steps: u64, safeguards: Safeguards, tracing: bool) -> Outcome {
     let mut world = World::new(seed, safeguards, tracing);
     while world.step < steps && world.ledger.violation.is_none() {
@@ -99,16 +98,16 @@
             break;
         }
     }
-    world.quieten();
-    let quiet_end = world.step + QUIET_LIMIT_EVENTS;
+    world.end_faults();
+    let settle_limit = world.step + SETTLE_LIMIT_EVENTS;
     while world.ledger.violation.is_none() && world.step_once() {
-        if world.step > quiet_end {
+        if world.step > settle_limit {
             world
                 .ledger
-                .violate("the world does not come to rest".to_owned());
+                .record_violation("events do not end after the end of the faults".to_owned());
         }
     }
-    world.check_rest();
+    world.check_quiescent();
     Outcome {
         steps: world.step,
         violation: world.ledger.violation,
@@ -139,15 +138,15 @@
             ledger: Ledger::default(),
             safeguards,
             fault_rates: FaultRates::default(),
-            quiet: false,
+            faults_ended: false,
             trace: tracing.then(VecDeque::new),
         };
         world.fault_rates = FaultRates::draw(&mut world);
         for slot in 0..SLOT_COUNT {
             world.start_process(slot);
         }
-        world.after(0, Event::NewRequest);
-        world.after(20, Event::Fault);
+        world.schedule_event(0, Event::NewRequest);
+        world.schedule_event(20, Event::Fault);
         world
     }
 
@@ -157,9 +156,9 @@
         };
         self.now_ms = time_ms;
         self.step += 1;
-        self.note(|| format!("{event:?}"));
+        self.trace_line(|| format!("{event:?}"));
         match event {
-            Event::Fault => self.fault(),
+            Event::Fault => self.inject_fault(),
             Event::NewRequest => self.new_request(),
             Event::CallerSend(request) => self.caller_send(request),
             Event::CallerTimeout(send) => self.caller_timeout(send),
@@ -168,12 +167,12 @@
             Event::Wake(at) => self.wake(at),
             Event::At(at, event) => self.node_event(at, event),
         }
-        self.check_one_home();
+        self.check_unique_home();
         true
     }
 
     fn node_event(&mut self, at: At, event: NodeEvent) {
-        let Some(mut process) = self.take_for(at, &event) else {
+        let Some(mut process) = self.take_process(at, &event) else {
             return;
         };
         match event {
@@ -205,16 +204,16 @@
         }
         process.table.assert_consistent();
         process.arrivals.assert_consistent();
-        self.put_back(process);
+        self.return_process(process);
     }
 
-    // A frozen process takes events when it wakes; one that has gone never does.
-    fn take_for(&mut self, at: At, event: &NodeEvent) -> Option<Process> {
-        let crosses_starts = matches!(event, NodeEvent::Frame { .. })
+    // Events for a frozen process are deferred until it resumes; those for an ended process are lost.
+    fn take_process(&mut self, at: At, event: &NodeEvent) -> Option<Process> {
+        let accepts_other_start = matches!(event, NodeEvent::Frame { .. })
             && !self.safeguards.has(Safeguard::LinkIncarnation);
         let place = &mut self.processes[at.slot];
         let process = place.as_mut()?;
-        if process.at != at && !crosses_starts {
+        if process.at != at && !accepts_other_start {
             return None;
         }
         if process.frozen {
@@ -224,16 +223,16 @@
         place.take()
     }
 
-    fn put_back(&mut self, process: Process) {
+    fn return_process(&mut self, process: Process) {
         if process.has_left {
-            self.left(process);
+            self.remove_process(process);
             return;
         }
         let epoch = process.table.current_epoch();
-        let heard = self.chance(30);
+        let gossip_received = self.random_chance(30);
         if let Some(known) = self.known_starts[process.at.slot]
             .last_mut()
-            .filter(|_| heard)
+            .filter(|_| gossip_received)
         {
             known.epoch = epoch;
         }
@@ -257,8 +256,8 @@
         self.processes[slot] = Some(process);
     }
 
-    // Two homes that are open for the same tickets would both start them.
-    fn check_one_home(&mut self) {
+    // Two homes that accept the same tickets would both start their requests.
+    fn check_unique_home(&mut self) {
         let processes: Vec<_> = self.processes.iter().flatten().collect();
         for (index, one) in processes.iter().enumerate() {
             for home in one.table.homes().filter(|home| one.table.is_open_for(home)) {
@@ -273,26 +272,29 @@
         }
     }
 
-    fn check_rest(&mut self) {
+    fn check_quiescent(&mut self) {
         let mut found = Vec::new();
         for process in self.processes.iter().flatten() {
             if !process.is_idle() {
-                found.push(format!("{} is not idle at rest", process.name));
+                found.push(format!(
+                    "{} is not idle after the end of the run",
+                    process.name
+                ));
             }
         }
         for (send, record) in &self.sends {
             let entry = self.processes[record.entry.slot].as_ref();
             let is_alive = entry.is_some_and(|process| process.at == record.entry);
             if is_alive && !self.ledger.has_reply(*send) {
-                found.push(format!("send {send} came to no end"));
+                found.push(format!("send {send} has no outcome"));
             }
         }
         if let Some(first) = found.into_iter().next() {
-            self.ledger.violate(first);
+            self.ledger.record_violation(first);
         }
     }
 
-    fn after(&mut self, delay_ms: TimeMs, event: Event) {
+    fn schedule_event(&mut self, delay_ms: TimeMs, event: Event) {
         self.sequence += 1;
         let (time_ms, sequence) = (self.now_ms + delay_ms, self.sequence);
         self.queue.push(Timed {
@@ -302,15 +304,15 @@
         });
     }
 
-    fn after_at(&mut self, delay_ms: TimeMs, at: At, event: NodeEvent) {
-        self.after(delay_ms, Event::At(at, event));
+    fn schedule_node_event(&mut self, delay_ms: TimeMs, at: At, event: NodeEvent) {
+        self.schedule_event(delay_ms, Event::At(at, event));
     }
 
-    fn between(&mut self, low: u64, high: u64) -> u64 {
+    fn random_between(&mut self, low: u64, high: u64) -> u64 {
         self.rng.random_range(low..=high)
     }
 
-    fn chance(&mut self, percent: u32) -> bool {
+    fn random_chance(&mut self, percent: u32) -> bool {
         self.rng.random_range(0..100) < percent
     }
 
@@ -327,19 +329,19 @@
         self.next_id
     }
 
-    // A start of a service's node as some other node knows it, now and then a stale one.
+    // Process of a slot as other nodes know it, occasionally a stale one.
     fn known_start(&mut self, slot: usize) -> Option<KnownStart> {
         let starts = self.known_starts[slot].clone();
         let recent = &starts[starts.len().saturating_sub(2)..];
-        match self.chance(10) {
+        match self.random_chance(10) {
             true => self.pick(recent),
             false => recent.last().copied(),
         }
     }
 
-    fn issue(&mut self, child: bool) -> Option<Ticket> {
+    fn issue_ticket(&mut self, child: bool) -> Option<Ticket> {
         let slots = service_slots(child);
-        let slot = self.between(slots.start as u64, slots.end as u64 - 1) as usize;
+        let slot = self.random_between(slots.start as u64, slots.end as u64 - 1) as usize;
         let KnownStart { at, epoch } = self.known_start(slot)?;
         let nonce = self.rng.random();
         Ticket::issue(
@@ -352,7 +354,7 @@
         .ok()
     }
 
-    fn note<T: Display>(&mut self, line: impl FnOnce() -> T) {
+    fn trace_line<T: Display>(&mut self, line: impl FnOnce() -> T) {
         let (now_ms, step) = (self.now_ms, self.step);
         if let Some(trace) = &mut self.trace {
             if trace.len() >= TRACE_LIMIT_LINES {
--- a/crates/hemlocktack-fleet/examples/randomised/world/network.rs
+++ b/crates/hemlocktack-fleet/examples/randomised/world/network.rs
@@ -1,4 +1,4 @@
-//! Links between nodes: delayed, reordered, duplicated and lost frames.
+//! Simulated links between nodes, which delay, reorder, duplicate and lose frames.
 
 use hemlocktack_fleet::calls::{Arrival, PendingCalls, Resolution, Resolved};
 use hemlocktack_protocol::frame::Body;
@@ -7,7 +7,7 @@
 };
 
 use crate::world::events::NodeEvent;
-use crate::world::process::{Asker, Process, RunFor, Waiter};
+use crate::world::process::{Process, Requester, RunFor, Waiter};
 use crate::world::safeguards::Safeguard;
 use crate::world::upstream::Work;
 use crate::world::{At, TimeMs, World, name_of};
@@ -15,12 +15,12 @@
 const SLOW_FRAME_MS: TimeMs = 300;
 const REDIAL_MS: TimeMs = 60;
 
-/// Whether calls can go to a peer now.
+/// Whether calls can be sent to a peer now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Reach {
     Linked,
     NotYet,
-    /// The handshake proves another start under the peer's name.
+    /// The handshake shows another incarnation under the peer's name.
     OtherStart,
 }
 
@@ -29,14 +29,14 @@
         let Some(&session) = process.links.get(&to) else {
             return;
         };
-        let copies = if self.chance(3) { 2 } else { 1 };
+        let copies = if self.random_chance(3) { 2 } else { 1 };
         for _ in 0..copies {
-            let delay_ms = match self.chance(self.fault_rates.slow_frame_percent) {
-                true => self.between(1, SLOW_FRAME_MS),
-                false => self.between(1, 5),
+            let delay_ms = match self.random_chance(self.fault_rates.slow_frame_percent) {
+                true => self.random_between(1, SLOW_FRAME_MS),
+                false => self.random_between(1, 5),
             };
             let body = Box::new(body.clone());
-            self.after_at(
+            self.schedule_node_event(
                 delay_ms,
                 to,
                 NodeEvent::Frame {
@@ -50,36 +50,40 @@
 
     pub(super) fn send_call(&mut self, process: &mut Process, to: At, call: Call, waiter: Waiter) {
         let call_id = call.call_id;
-        let sends = process
-            .sends
+        let pending_calls = process
+            .pending_calls
             .entry(to)
             .or_insert_with(|| PendingCalls::new(name_of(to)));
-        sends.insert(call_id, waiter);
+        pending_calls.insert(call_id, waiter);
         let body = Body::Call(call);
-        match self.chance(self.fault_rates.queued_frame_percent) {
+        match self.random_chance(self.fault_rates.queued_frame_percent) {
             true => {
-                let delay_ms = self.between(1, 40);
+                let delay_ms = self.random_between(1, 40);
                 let body = Box::new(body);
-                self.after_at(delay_ms, process.at, NodeEvent::Flush { to, call_id, body });
+                self.schedule_node_event(
+                    delay_ms,
+                    process.at,
+                    NodeEvent::Flush { to, call_id, body },
+                );
             }
             false => self.flush(process, to, call_id, body),
         }
     }
 
     pub(super) fn flush(&mut self, process: &mut Process, to: At, call_id: CallId, body: Body) {
-        let Some(sends) = process.sends.get_mut(&to) else {
+        let Some(pending_calls) = process.pending_calls.get_mut(&to) else {
             return;
         };
-        let may_write =
-            sends.mark_sent(call_id) || !self.safeguards.has(Safeguard::QueuedFrameWithdrawn);
+        let may_write = pending_calls.mark_sent(call_id)
+            || !self.safeguards.has(Safeguard::QueuedFrameWithdrawn);
         if process.links.contains_key(&to) && may_write {
             self.send(process, to, body);
         }
     }
 
     pub(super) fn frame(&mut self, process: &mut Process, from: At, session: u64, body: Body) {
-        // Now and then a frame is read from a buffer of a link that was lost.
-        if self.closed_sessions.contains(&session) && !self.chance(40) {
+        // Some frames of a lost link are still read from its buffer.
+        if self.closed_sessions.contains(&session) && !self.random_chance(40) {
             return;
         }
         match body {
@@ -105,17 +109,17 @@
         let Some(work) = Work::from_call(&self.keys, &call) else {
             return;
         };
-        let asker = Asker::Peer {
+        let requester = Requester::Peer {
             from,
             call_id: call.call_id,
         };
         if call.purpose() == CallPurpose::Home {
-            self.home_start(process, work, asker);
+            self.home_start(process, work, requester);
             return;
         }
         let refuses_drain = process.stop.is_some() && self.safeguards.has(Safeguard::DrainRefuses);
-        if refuses_drain || self.chance(15) {
-            self.reply_peer(process, from, call.call_id, unfinished(Outcome::NotRun));
+        if refuses_drain || self.random_chance(15) {
+            self.reply_peer(process, from, call.call_id, failure_answer(Outcome::NotRun));
             return;
         }
         self.begin_run(
@@ -143,8 +147,10 @@
     }
 
     fn on_answer_frame(&mut self, process: &mut Process, from: At, answer: Answer) {
-        let sends = process.sends.get_mut(&from);
-        let Some(waiter) = sends.and_then(|sends| sends.answered(answer.call_id)) else {
+        let pending_calls = process.pending_calls.get_mut(&from);
+        let Some(waiter) =
+            pending_calls.and_then(|pending_calls| pending_calls.answered(answer.call_id))
+        else {
             return;
         };
         match waiter {
@@ -157,7 +163,7 @@
         self.ledger.counts.resolutions += 1;
         let resolution = match self.safeguards.has(Safeguard::FenceOnResolve) {
             true => process.arrivals.resolve(&name_of(from), call_id),
-            // On a copy, so that nothing remembers what was told.
+            // Works on a copy, so that the call is not fenced.
             false => process.arrivals.clone().resolve(&name_of(from), call_id),
         };
         let mut progress = resolution.progress();
@@ -175,10 +181,10 @@
     }
 
     fn on_resolution(&mut self, process: &mut Process, from: At, resolution: CallResolution) {
-        let Some(sends) = process.sends.get_mut(&from) else {
+        let Some(pending_calls) = process.pending_calls.get_mut(&from) else {
             return;
         };
-        match sends.resolved(resolution.call_id, resolution.progress()) {
+        match pending_calls.resolved(resolution.call_id, resolution.progress()) {
             Resolved::NotRun(waiter) => self.proved_not_run(process, waiter, from),
             Resolved::Unknown(waiter) => self.may_have_run(process, waiter, from),
             Resolved::Waiting | Resolved::Ignored => {}
@@ -187,7 +193,7 @@
 
     fn proved_not_run(&mut self, process: &mut Process, waiter: Waiter, peer: At) {
         match waiter {
-            Waiter::Entry(send) => self.entry_not_sent(process, send),
+            Waiter::Entry(send) => self.entry_send_not_run(process, send),
             Waiter::Delegated(nonce) => self.delegate_not_run(process, nonce, peer),
         }
     }
@@ -204,15 +210,15 @@
             return;
         }
         process.links.remove(&peer);
-        let Some(sends) = process.sends.get_mut(&peer) else {
+        let Some(pending_calls) = process.pending_calls.get_mut(&peer) else {
             return;
         };
-        let loss = sends.link_lost();
+        let loss = pending_calls.link_lost();
         for waiter in loss.not_sent {
             self.proved_not_run(process, waiter, peer);
         }
-        let delay_ms = self.between(1, 100);
-        self.after_at(delay_ms, process.at, NodeEvent::Dial(peer));
+        let delay_ms = self.random_between(1, 100);
+        self.schedule_node_event(delay_ms, process.at, NodeEvent::Dial(peer));
     }
 
     pub(super) fn reach(&mut self, process: &Process, peer: At) -> Reach {
@@ -245,17 +251,17 @@
             self.connect(process, other);
             return;
         }
-        let waits = process
-            .sends
+        let has_pending_calls = process
+            .pending_calls
             .get(&peer)
-            .is_some_and(|sends| sends.waiting_count() > 0);
-        if waits {
-            self.after_at(REDIAL_MS, process.at, NodeEvent::Dial(peer));
+            .is_some_and(|pending_calls| pending_calls.waiting_count() > 0);
+        if has_pending_calls {
+            self.schedule_node_event(REDIAL_MS, process.at, NodeEvent::Dial(peer));
         }
     }
 
     fn connect(&mut self, process: &mut Process, mut other: Process) {
-        // The other end may not have noticed yet that the old link is lost.
+        // The other end may not have detected yet that the old link is lost.
         if let Some(&old_session) = other.links.get(&process.at) {
             self.closed_sessions.insert(old_session);
             self.link_lost(&mut other, process.at, old_session);
@@ -264,16 +270,16 @@
         process.links.insert(other.at, session);
         other.links.insert(process.at, session);
         self.open_sessions
-            .insert(pair(process.at, other.at), session);
+            .insert(ordered_pair(process.at, other.at), session);
         let other_at = other.at;
-        self.ask_unresolved(process, other_at);
-        self.ask_unresolved(&mut other, process.at);
-        self.put_back(other);
+        self.resolve_pending_calls(process, other_at);
+        self.resolve_pending_calls(&mut other, process.at);
+        self.return_process(other);
     }
 
-    fn ask_unresolved(&mut self, process: &mut Process, peer: At) {
+    fn resolve_pending_calls(&mut self, process: &mut Process, peer: At) {
         let call_ids = process
-            .sends
+            .pending_calls
             .get(&peer)
             .map(PendingCalls::unresolved)
             .unwrap_or_default();
@@ -283,10 +289,10 @@
     }
 
     fn peer_gone(&mut self, process: &mut Process, peer: At) {
-        let Some(mut sends) = process.sends.remove(&peer) else {
+        let Some(mut pending_calls) = process.pending_calls.remove(&peer) else {
             return;
         };
-        for waiter in sends.peer_gone() {
+        for waiter in pending_calls.peer_gone() {
             match self.safeguards.has(Safeguard::PeerIncarnation) {
                 true => self.may_have_run(process, waiter, peer),
                 false => self.proved_not_run(process, waiter, peer),
@@ -294,15 +300,15 @@
         }
     }
 
-    /// Cuts the link between two starts; both notice after a while.
+    /// Cuts the link between two processes; each detects it after a delay of its own.
     pub(super) fn cut(&mut self, one: At, other: At) {
-        let Some(session) = self.open_sessions.remove(&pair(one, other)) else {
+        let Some(session) = self.open_sessions.remove(&ordered_pair(one, other)) else {
             return;
         };
         self.closed_sessions.insert(session);
         for (at, peer) in [(one, other), (other, one)] {
-            let delay_ms = self.between(1, 200);
-            self.after_at(delay_ms, at, NodeEvent::LinkLost { peer, session });
+            let delay_ms = self.random_between(1, 200);
+            self.schedule_node_event(delay_ms, at, NodeEvent::LinkLost { peer, session });
         }
     }
 
@@ -324,20 +330,20 @@
     }
 }
 
-pub(crate) fn unfinished(outcome: Outcome) -> Answer {
+pub(crate) fn failure_answer(outcome: Outcome) -> Answer {
     Answer {
         outcome: outcome.into(),
         ..Answer::default()
     }
 }
 
-pub(crate) fn unfinished_for(outcome: Outcome, reason: Reason) -> Answer {
+pub(crate) fn failure_answer_with_reason(outcome: Outcome, reason: Reason) -> Answer {
     Answer {
         reason: reason.into(),
-        ..unfinished(outcome)
+        ..failure_answer(outcome)
     }
 }
 
-fn pair(one: At, other: At) -> (At, At) {
+fn ordered_pair(one: At, other: At) -> (At, At) {
     (one.min(other), one.max(other))
 }
--- a/crates/hemlocktack-fleet/examples/randomised/world/process.rs
+++ b/crates/hemlocktack-fleet/examples/randomised/world/process.rs
@@ -1,4 +1,4 @@
-//! One start of one node, with the state machines that it drives.
+//! One process of a node, with the state machines that it drives.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,7 +11,7 @@
 use crate::world::events::Event;
 use crate::world::{At, RequestId, RunId, SendId, TimeMs};
 
-// Small enough that every bound is reached within a run.
+// Small enough that a run reaches every limit.
 const TABLE_LIMITS: TableLimits = TableLimits {
     records_per_epoch: 8,
     kept_epochs: 3,
@@ -25,21 +25,21 @@
     kept_answer_bytes: 2000,
 };
 
-/// Who waits for a call that was sent to a peer.
+/// What waits for the answer of a call that was sent to a peer.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Waiter {
     Entry(SendId),
     Delegated(Nonce),
 }
 
-/// Who waits for the end of a ticket at its home, or of a run.
+/// Who waits for the outcome of a ticket at its home.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Asker {
+pub(crate) enum Requester {
     Local(SendId),
     Peer { from: At, call_id: CallId },
 }
 
-/// A call of a caller, or of an upstream, at the node that took it.
+/// A call of a caller or of an upstream at its entry node.
 #[derive(Clone, Debug)]
 pub(crate) struct EntryCall {
     pub(crate) request: RequestId,
@@ -64,7 +64,7 @@
     Shed,
 }
 
-/// A request at the upstream.
+/// A request that runs in the upstream.
 #[derive(Clone, Debug)]
 pub(crate) struct Run {
     pub(crate) run_for: RunFor,
@@ -77,11 +77,11 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Stop {
     pub(crate) since_ms: TimeMs,
-    // The operators' limit; what is still in flight then is cut.
+    // Drain time limit of the operator; calls still in flight then are cut off.
     pub(crate) limit_ms: TimeMs,
-    pub(crate) leaving: Option<OutgoingHandover>,
-    // Before any offer; only for the run without `CommitOnce`.
-    pub(crate) first_leaving: Option<OutgoingHandover>,
+    pub(crate) outgoing_handover: Option<OutgoingHandover>,
+    // State before any offer; used only in runs without `CommitOnce`.
+    pub(crate) initial_handover: Option<OutgoingHandover>,
     pub(crate) offered_to: Option<At>,
     pub(crate) offers_left: u32,
 }
@@ -92,13 +92,13 @@
     pub(crate) name: NodeIncarnation,
     pub(crate) table: TicketTable,
     pub(crate) arrivals: Arrivals,
-    pub(crate) receiving: IncomingHandovers,
-    pub(crate) sends: BTreeMap<At, PendingCalls<Waiter>>,
+    pub(crate) incoming_handovers: IncomingHandovers,
+    pub(crate) pending_calls: BTreeMap<At, PendingCalls<Waiter>>,
     pub(crate) links: BTreeMap<At, u64>,
     pub(crate) entries: BTreeMap<SendId, EntryCall>,
-    pub(crate) askers: BTreeMap<Nonce, Vec<Asker>>,
+    pub(crate) requesters: BTreeMap<Nonce, Vec<Requester>>,
     pub(crate) home_calls: BTreeMap<Nonce, HomeCall>,
-    // Only for the run without `FenceOnRefusal`.
+    // Used only in runs without `FenceOnRefusal`.
     pub(crate) told_not_run: BTreeSet<Nonce>,
     pub(crate) runs: BTreeMap<RunId, Run>,
     pub(crate) successions: BTreeMap<NodeIncarnation, NodeIncarnation>,
@@ -109,14 +109,14 @@
     next_call_id: CallId,
 }
 
-/// A request that this home let in and has not ended.
+/// A request that this home has admitted and that has not ended.
 #[derive(Clone, Debug)]
 pub(crate) struct HomeCall {
     pub(crate) request: RequestId,
     pub(crate) send: SendId,
     pub(crate) ticket: Ticket,
     pub(crate) delegate: Option<(At, CallId)>,
-    pub(crate) tries_left: u32,
+    pub(crate) attempts_left: u32,
 }
 
 impl Process {
@@ -127,11 +127,11 @@
             name,
             table,
             arrivals: Arrivals::new(ARRIVAL_LIMITS),
-            receiving: IncomingHandovers::new(HandoverLimits::default()),
-            sends: BTreeMap::new(),
+            incoming_handovers: IncomingHandovers::new(HandoverLimits::default()),
+            pending_calls: BTreeMap::new(),
             links: BTreeMap::new(),
             entries: BTreeMap::new(),
-            askers: BTreeMap::new(),
+            requesters: BTreeMap::new(),
             home_calls: BTreeMap::new(),
             told_not_run: BTreeSet::new(),
             runs: BTreeMap::new(),
--- a/crates/hemlocktack-fleet/examples/randomised/world/safeguards.rs
+++ b/crates/hemlocktack-fleet/examples/randomised/world/safeguards.rs
@@ -1,61 +1,61 @@
-//! The safeguards under test, each of which can be switched off.
+//! Safeguards under test, each of which can be disabled.
 
 use strum::{Display, EnumIter, EnumString};
 
-/// One safeguard. Switched off, the world drives the same state machines and
-/// leaves out, or works against, what the safeguard says.
+/// One safeguard. If it is disabled, the simulation drives the same state machines but omits or
+/// defeats what the safeguard does.
 #[derive(Clone, Copy, Debug, Display, EnumIter, EnumString, PartialEq, Eq)]
 #[strum(serialize_all = "kebab-case")]
 pub(crate) enum Safeguard {
-    /// A home starts tickets of its own incarnation only.
+    /// A home starts only tickets of its own incarnation.
     HomeIncarnation,
-    /// A ticket stands for the request that it was first sent with.
+    /// A ticket is bound to the request that it was first sent with.
     RequestBound,
-    /// A re-send of a ticket in flight joins it.
+    /// A ticket that is sent again while its request is in flight joins that request.
     Join,
-    /// A ticket in a state that does not allow it is not let out.
+    /// A ticket is started or delegated only in a state that allows it.
     StateChecked,
     /// A delegation is recorded before the call is sent.
     DelegationRecorded,
-    /// A delegate that came to no proof leaves the ticket ended.
+    /// A ticket whose delegate's outcome is unknown is not started again.
     UnknownIsFinal,
-    /// Another incarnation under a peer's name proves nothing.
+    /// A new incarnation of a peer does not prove that calls to the earlier one never ran.
     PeerIncarnation,
-    /// Frames of a link reach only the incarnation that it was made with.
+    /// Frames of a link reach only the incarnation that the link was established with.
     LinkIncarnation,
-    /// "Never arrived" is told only after the call was fenced.
+    /// A call is reported as never arrived only after it was fenced.
     FenceOnResolve,
-    /// A call frame that came before is dropped.
+    /// A duplicate call frame is dropped.
     DuplicateCalls,
-    /// What may have been forgotten is not told as never arrived.
+    /// A call whose record may have been evicted is not reported as never arrived.
     Mark,
-    /// A ticket told `not_run` never starts.
+    /// A ticket that was reported as `not_run` never starts.
     FenceOnRefusal,
-    /// So does a ticket told `not_run` by a home that stops.
+    /// A ticket that a stopping home reported as `not_run` never starts.
     FenceWhileStopping,
-    /// A frame still in the node's queue when its link went is not written.
+    /// A call frame still in the send queue when its link is lost is not written.
     QueuedFrameWithdrawn,
-    /// Tickets of epochs whose records are gone are refused.
+    /// Tickets of epochs whose records were evicted are refused.
     Expiry,
-    /// A stopping home starts nothing once its table is on its way.
+    /// A stopping home starts nothing once the handover of its table has begun.
     Freeze,
-    /// Requests still running go over as "may have run".
+    /// Requests still running are handed over as possibly run.
     RunningHandedOver,
-    /// A successor begins with the commit and not with its acceptance.
+    /// A successor becomes the home at the commit, not when it has accepted the table.
     Commit,
-    /// After the commit no other successor is tried.
+    /// After the commit the table is offered to no other successor.
     CommitOnce,
-    /// A child call keeps its first ticket.
+    /// A child call that is sent again keeps its first ticket.
     ChildTicketKept,
-    /// An idempotent call makes no other call than with a ticket.
+    /// An idempotent call makes child calls only with a ticket that it forwards.
     IdempotentParent,
-    /// A stopping node starts nothing at its upstream.
+    /// A stopping node starts no requests at its upstream.
     DrainRefuses,
-    /// A planned stop waits for what is in flight.
+    /// A planned stop waits for the calls in flight.
     StopWaits,
 }
 
-/// All safeguards on, or all but one.
+/// Which safeguards are enabled: all, or all but one.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Safeguards {
     pub(crate) without: Option<Safeguard>,
--- a/crates/hemlocktack-fleet/examples/randomised/world/stop.rs
+++ b/crates/hemlocktack-fleet/examples/randomised/world/stop.rs
@@ -1,4 +1,4 @@
-//! Planned stops: drain, handover, exit.
+//! Planned stops: drain, handover and exit.
 
 use hemlocktack_fleet::handover::{HandoverProgress, OutgoingHandover};
 use hemlocktack_protocol::frame::Body;
@@ -22,48 +22,48 @@
         }
         self.ledger.counts.stops += 1;
         process.table.stop_accepting();
-        // Far too short now and then, so that tables go over with calls in flight.
-        let limit_ms = match self.chance(30) {
-            true => self.between(50, 800),
+        // Sometimes far too short, so that tables are handed over with calls in flight.
+        let limit_ms = match self.random_chance(30) {
+            true => self.random_between(50, 800),
             false => DRAIN_LIMIT_MS,
         };
         process.stop = Some(Stop {
             since_ms: self.now_ms,
             limit_ms,
-            leaving: None,
-            first_leaving: None,
+            outgoing_handover: None,
+            initial_handover: None,
             offered_to: None,
             offers_left: OFFER_LIMIT,
         });
-        self.after_at(STOP_STEP_MS, process.at, NodeEvent::StopStep);
+        self.schedule_node_event(STOP_STEP_MS, process.at, NodeEvent::StopStep);
     }
 
     pub(super) fn stop_step(&mut self, process: &mut Process) {
         let Some(mut stop) = process.stop.take() else {
             return;
         };
-        let limit_reached = self.now_ms - stop.since_ms > stop.limit_ms;
+        let drain_limit_reached = self.now_ms - stop.since_ms > stop.limit_ms;
         let may_begin =
-            process.is_idle() || limit_reached || !self.safeguards.has(Safeguard::StopWaits);
-        if stop.leaving.is_none() && may_begin {
-            let leaving = OutgoingHandover::begin(&mut process.table);
-            stop.first_leaving = Some(leaving.clone());
-            stop.leaving = Some(leaving);
+            process.is_idle() || drain_limit_reached || !self.safeguards.has(Safeguard::StopWaits);
+        if stop.outgoing_handover.is_none() && may_begin {
+            let outgoing_handover = OutgoingHandover::begin(&mut process.table);
+            stop.initial_handover = Some(outgoing_handover.clone());
+            stop.outgoing_handover = Some(outgoing_handover);
             for nonce in fenced_by_freeze(process) {
-                self.end(process, nonce, &fenced_answer());
+                self.end_ticket(process, nonce, &fenced_answer());
             }
         }
-        if stop.leaving.is_some() {
+        if stop.outgoing_handover.is_some() {
             self.offer(process, &mut stop);
         }
         process.stop = Some(stop);
         if !process.has_left {
-            self.after_at(STOP_STEP_MS, process.at, NodeEvent::StopStep);
+            self.schedule_node_event(STOP_STEP_MS, process.at, NodeEvent::StopStep);
         }
     }
 
     fn offer(&mut self, process: &mut Process, stop: &mut Stop) {
-        let Some(leaving) = &mut stop.leaving else {
+        let Some(outgoing_handover) = &mut stop.outgoing_handover else {
             return;
         };
         if stop.offers_left == 0 {
@@ -71,12 +71,15 @@
             return;
         }
         stop.offers_left -= 1;
-        let successor = leaving.successor().map(|_| ()).and(stop.offered_to);
+        let successor = outgoing_handover
+            .successor()
+            .map(|_| ())
+            .and(stop.offered_to);
         let to = match successor {
             Some(to) if self.safeguards.has(Safeguard::CommitOnce) => to,
             _ => {
-                if !leaving.abandon() && !self.safeguards.has(Safeguard::CommitOnce) {
-                    stop.leaving.clone_from(&stop.first_leaving);
+                if !outgoing_handover.abandon() && !self.safeguards.has(Safeguard::CommitOnce) {
+                    stop.outgoing_handover.clone_from(&stop.initial_handover);
                 }
                 let Some(to) = self.choose_successor(process) else {
                     return;
@@ -88,16 +91,16 @@
         match self.reach(process, to) {
             Reach::Linked => {}
             Reach::NotYet => {
-                self.after_at(1, process.at, NodeEvent::Dial(to));
+                self.schedule_node_event(1, process.at, NodeEvent::Dial(to));
                 return;
             }
-            // Committed to a start that has gone: nobody is home any more.
+            // The successor that the table was committed to has ended: no home is left.
             Reach::OtherStart => return,
         }
         let frames = stop
-            .leaving
+            .outgoing_handover
             .as_mut()
-            .map(|leaving| leaving.offer(&name_of(to)));
+            .map(|outgoing_handover| outgoing_handover.offer(&name_of(to)));
         for frame in frames.unwrap_or_default() {
             self.send(process, to, Body::Handover(frame));
         }
@@ -118,22 +121,23 @@
                 .retain(|entry| entry.progress() != TicketProgress::Started);
         }
         let home_count = process.table.homes().count();
-        let mut at_once = Handover {
+        let mut commit_frame = Handover {
             committed: true,
             ..frame.clone()
         };
-        at_once.entries.clear();
+        commit_frame.entries.clear();
         let name = name_of(from);
         let accepted = process
-            .receiving
+            .incoming_handovers
             .handle_frame(&mut process.table, &name, frame);
         let Ok(accepted) = accepted else {
             return;
         };
         if accepted.complete && !self.safeguards.has(Safeguard::Commit) {
-            let _ = process
-                .receiving
-                .handle_frame(&mut process.table, &name, at_once);
+            let _ =
+                process
+                    .incoming_handovers
+                    .handle_frame(&mut process.table, &name, commit_frame);
         }
         if accepted.committed || process.table.homes().count() != home_count {
             self.publish_successions(process);
@@ -150,16 +154,20 @@
             }
             self.ledger.counts.handovers += 1;
             self.successions.push(succession);
-            let hearers: Vec<_> = self
+            let recipients: Vec<_> = self
                 .processes
                 .iter()
                 .flatten()
                 .map(|other| other.at)
                 .collect();
-            for hearer in hearers {
-                let delay_ms = self.between(1, 300);
+            for recipient in recipients {
+                let delay_ms = self.random_between(1, 300);
                 let (home, successor) = (home.clone(), process.name.clone());
-                self.after_at(delay_ms, hearer, NodeEvent::Succession { home, successor });
+                self.schedule_node_event(
+                    delay_ms,
+                    recipient,
+                    NodeEvent::Succession { home, successor },
+                );
             }
         }
     }
@@ -170,10 +178,14 @@
         from: At,
         accepted: &HandoverAccepted,
     ) {
-        let Some(leaving) = process.stop.as_mut().and_then(|stop| stop.leaving.as_mut()) else {
+        let Some(outgoing_handover) = process
+            .stop
+            .as_mut()
+            .and_then(|stop| stop.outgoing_handover.as_mut())
+        else {
             return;
         };
-        match leaving.handle_accepted(&name_of(from), accepted) {
+        match outgoing_handover.handle_accepted(&name_of(from), accepted) {
             HandoverProgress::Waiting | HandoverProgress::Refused => {}
             HandoverProgress::Commit(frames) => {
                 for frame in frames {
@@ -190,17 +202,19 @@
             .as_ref()
             .is_some_and(|stop| self.now_ms - stop.since_ms < stop.limit_ms);
         if !process.is_idle() && within_limit {
-            let cut = process.entries.len() + process.runs.len();
-            self.ledger
-                .violate(format!("{} stopped and cut {cut} calls", process.name));
+            let interrupted = process.entries.len() + process.runs.len();
+            self.ledger.record_violation(format!(
+                "{} stopped and interrupted {interrupted} calls",
+                process.name
+            ));
         }
         process.has_left = true;
     }
 
-    pub(super) fn left(&mut self, process: Process) {
+    pub(super) fn remove_process(&mut self, process: Process) {
         self.cut_all(process.at);
-        let delay_ms = self.between(100, 600);
-        self.after(
+        let delay_ms = self.random_between(100, 600);
+        self.schedule_event(
             delay_ms,
             crate::world::events::Event::Restart(process.at.slot),
         );
--- a/crates/hemlocktack-fleet/examples/randomised/world/upstream.rs
+++ b/crates/hemlocktack-fleet/examples/randomised/world/upstream.rs
@@ -1,4 +1,4 @@
-//! Upstreams: runs, their ends, and the calls that they make deeper.
+//! Simulated upstreams: runs, their outcomes, and the child calls that they make.
 
 use std::sync::Arc;
 
@@ -10,8 +10,8 @@
 
 use crate::world::callers::FIRST_CHILD_REQUEST;
 use crate::world::events::NodeEvent;
-use crate::world::ledger::StartOfRun;
-use crate::world::network::{unfinished, unfinished_for};
+use crate::world::ledger::RunStart;
+use crate::world::network::{failure_answer, failure_answer_with_reason};
 use crate::world::process::{EntryCall, Process, Run, RunEnd, RunFor};
 use crate::world::safeguards::Safeguard;
 use crate::world::{
@@ -61,21 +61,21 @@
 
 impl World {
     pub(super) fn begin_run(&mut self, process: &mut Process, run_for: RunFor, work: &Work) {
-        let end = match self.between(0, 99) {
+        let end = match self.random_between(0, 99) {
             0..8 => RunEnd::Shed,
             8..15 => RunEnd::Failed,
             _ => RunEnd::Answer,
         };
         let id = self.new_id();
-        // What the upstream sheds it has not started.
+        // A request that the upstream sheds does not count as started.
         if end != RunEnd::Shed {
-            let start = StartOfRun {
+            let start = RunStart {
                 send: work.send,
                 token: id,
             };
             self.ledger
                 .start(work.request, work.ticket.is_some(), start);
-            self.note_start_while_stopping(process);
+            self.report_start_while_stopping(process);
         }
         let children = match &work.ticket {
             Some(ticket) => ChildCalls::for_ticketed_parent(ticket.nonce),
@@ -89,20 +89,20 @@
             children,
         };
         process.runs.insert(id, run);
-        let duration_ms = match self.chance(8) {
-            true => self.between(100, 900),
-            false => self.between(3, 60),
+        let duration_ms = match self.random_chance(8) {
+            true => self.random_between(100, 900),
+            false => self.random_between(3, 60),
         };
-        self.after_at(duration_ms, process.at, NodeEvent::RunDone(id));
+        self.schedule_node_event(duration_ms, process.at, NodeEvent::RunDone(id));
         if !is_child(work.request) && end != RunEnd::Shed {
             self.plan_children(process, id, work.request);
         }
     }
 
-    fn note_start_while_stopping(&mut self, process: &Process) {
+    fn report_start_while_stopping(&mut self, process: &Process) {
         if let Some(stop) = &process.stop {
             let since_ms = self.now_ms - stop.since_ms;
-            self.ledger.start_while_stopping(process.at, since_ms);
+            self.ledger.check_start_while_stopping(process.at, since_ms);
         }
     }
 
@@ -114,10 +114,10 @@
         {
             return;
         }
-        let send_count = self.between(1, 3);
+        let send_count = self.random_between(1, 3);
         for _ in 0..send_count {
-            let delay_ms = self.between(1, 120);
-            self.after_at(delay_ms, process.at, NodeEvent::ChildSend { run, key: 1 });
+            let delay_ms = self.random_between(1, 120);
+            self.schedule_node_event(delay_ms, process.at, NodeEvent::ChildSend { run, key: 1 });
         }
     }
 
@@ -126,9 +126,9 @@
             return;
         };
         let answer = match run.end {
-            RunEnd::Answer => whole_answer(run.request, run.token),
-            RunEnd::Failed => unfinished_for(Outcome::Unknown, Reason::UpstreamFailed),
-            RunEnd::Shed => unfinished(Outcome::NotRun),
+            RunEnd::Answer => success_answer(run.request, run.token),
+            RunEnd::Failed => failure_answer_with_reason(Outcome::Unknown, Reason::UpstreamFailed),
+            RunEnd::Shed => failure_answer(Outcome::NotRun),
         };
         match run.run_for {
             RunFor::Peer { from, call_id } => self.reply_peer(process, from, call_id, answer),
@@ -137,7 +137,7 @@
         }
     }
 
-    /// The upstream makes a deeper call, or makes it again.
+    /// Sends a child call of the upstream, or sends it again.
     pub(super) fn child_send(&mut self, process: &mut Process, run: RunId, key: u8) {
         let Some(running) = process.runs.get(&run) else {
             return;
@@ -160,55 +160,55 @@
         key: u8,
     ) -> Option<Ticket> {
         let slots = service_slots(true);
-        let slot = self.between(slots.start as u64, slots.end as u64 - 1) as usize;
+        let slot = self.random_between(slots.start as u64, slots.end as u64 - 1) as usize;
         let KnownStart { at, epoch } = self.known_start(slot)?;
         let home = ChildHome {
             home: name_of(at),
             epoch,
         };
-        let passed_along = self
+        let forwarded_ticket = self
             .requests
             .get(&parent)
-            .and_then(|request| request.passes.clone());
-        let key = match &passed_along {
+            .and_then(|request| request.forwarded_ticket.clone());
+        let key = match &forwarded_ticket {
             Some(ticket) => ticket.encode().into_bytes(),
             None => vec![key],
         };
         let service = ServiceName::from(service_name(true));
-        let forgetful = ChildCalls::for_ticketed_parent(self.rng.random());
+        let unrecorded_calls = ChildCalls::for_ticketed_parent(self.rng.random());
         let running = process.runs.get_mut(&run)?;
         let is_idempotent = self
             .requests
             .get(&parent)
             .is_some_and(|request| !request.is_ticketed);
-        let mut forgetful = Some(forgetful).filter(|_| match is_idempotent {
+        let mut unrecorded_calls = Some(unrecorded_calls).filter(|_| match is_idempotent {
             true => !self.safeguards.has(Safeguard::IdempotentParent),
             false => !self.safeguards.has(Safeguard::ChildTicketKept),
         });
-        let children = forgetful.as_mut().unwrap_or(&mut running.children);
+        let children = unrecorded_calls.as_mut().unwrap_or(&mut running.children);
         children
             .ticket_for(&self.keys, &service, Some(&key), || Some(home))
             .ok()
     }
 }
 
-pub(crate) fn whole_answer(request: RequestId, token: u64) -> Answer {
+pub(crate) fn success_answer(request: RequestId, token: u64) -> Answer {
     let mut body = BytesMut::new();
     body.put_u64(request);
     body.put_u64(token);
     Answer {
         body: body.freeze(),
         status: 200,
-        ..unfinished(Outcome::Answered)
+        ..failure_answer(Outcome::Answered)
     }
 }
 
-/// Request and token of an answer's body.
+/// Reads the request id and token from the body of an answer.
 pub(crate) fn read_answer(body: &Bytes) -> Option<(RequestId, u64)> {
     let mut body = body.clone();
     Some((body.try_get_u64().ok()?, body.try_get_u64().ok()?))
 }
 
-pub(crate) fn shared(answer: &Answer) -> Arc<Answer> {
+pub(crate) fn to_shared_answer(answer: &Answer) -> Arc<Answer> {
     Arc::new(answer.clone())
 }
