--- a/crates/hemlocktack-cli/src/app.rs
+++ b/crates/hemlocktack-cli/src/app.rs
@@ -1,4 +1,4 @@
-//! From a command line to a report and an exit code.
+//! Dispatches a command line to its command and returns the exit code.
 
 use std::io::Write;
 use std::process::ExitCode;
@@ -19,8 +19,7 @@
 
 /// Runs one command line.
 ///
-/// `environment` looks up variables; reports go to `stdout`, everything about a
-/// failure to `stderr`.
+/// `environment` looks up environment variables. Reports are written to `stdout`, errors to `stderr`.
 pub fn run(
     arguments: Vec<String>,
     environment: &dyn Fn(&str) -> Option<String>,
@@ -31,7 +30,7 @@
         return ExitCode::SUCCESS;
     };
     let report = output::failure(&error);
-    // Nothing is left to tell a failure to when stderr itself fails.
+    // If stderr cannot be written, there is nowhere left to report that.
     let _ = stderr.write_all(report.as_bytes());
     error.exit_code()
 }
@@ -52,7 +51,7 @@
         }
         _ => {}
     }
-    if let Some(word) = asked_group(arguments) {
+    if let Some(word) = requested_group(arguments) {
         stdout.write_all(group_overview(word).as_bytes())?;
         return Ok(());
     }
@@ -62,7 +61,7 @@
     let options = options_of(signature);
     let matches = options
         .parse(&arguments[word_count..])
-        .map_err(|fail| usage_fault(&fail))?;
+        .map_err(|fail| usage_error(&fail))?;
     if matches.opt_present("help") {
         stdout.write_all(help_of(signature, &options).as_bytes())?;
         return Ok(());
@@ -73,9 +72,9 @@
     (signature.run)(&mut arguments, &mut output)
 }
 
-/// Word of the group whose commands are asked for: it stands alone, or with the
-/// flag for help and nothing else.
-fn asked_group(arguments: &[String]) -> Option<&str> {
+/// Returns the command group whose overview is requested: the group's word alone or followed only by
+/// the help flag.
+fn requested_group(arguments: &[String]) -> Option<&str> {
     let word = match arguments {
         [word] => word,
         [word, flag] if flag == "--help" || flag == "-h" => word,
@@ -102,13 +101,13 @@
         .join(" ");
     let known = CATALOGUE.map(|signature| signature.words).join(", ");
     let label = match words.as_str() {
-        "" => "a command is missing".to_owned(),
-        words => format!("{words:?} is no command"),
+        "" => "missing command".to_owned(),
+        words => format!("{words:?} is not a command"),
     };
-    usage_finding("command", label, format!("known: {known}"))
+    usage_finding("command", label, format!("known commands: {known}"))
 }
 
-fn usage_fault(fail: &Fail) -> Error {
+fn usage_error(fail: &Fail) -> Error {
     let flag = match fail {
         Fail::ArgumentMissing(flag)
         | Fail::UnrecognizedOption(flag)
@@ -132,15 +131,15 @@
 }
 
 fn overview() -> String {
-    list_of("COMMAND", CATALOGUE)
+    command_list("COMMAND", CATALOGUE)
 }
 
 fn group_overview(word: &str) -> String {
-    list_of(&format!("{word} COMMAND"), group(word))
+    command_list(&format!("{word} COMMAND"), group(word))
 }
 
-/// Usage with these command words, and a line for each of these commands.
-fn list_of(words: &str, signatures: impl IntoIterator<Item = &'static Signature>) -> String {
+/// Formats a usage line with these command words and one line for each command.
+fn command_list(words: &str, signatures: impl IntoIterator<Item = &'static Signature>) -> String {
     let mut text = format!("Usage: {PROGRAM} {words} [operands] [flags]\n\n");
     for signature in signatures {
         let usage = format!("{} {}", signature.words, signature.operands);
--- a/crates/hemlocktack-cli/src/arguments.rs
+++ b/crates/hemlocktack-cli/src/arguments.rs
@@ -1,5 +1,5 @@
-//! Flags, operands and settings of one command line, with a finding for each
-//! fault, reported together.
+//! Reads the flags, operands and settings of one command line. Faults are collected as findings and
+//! reported together.
 
 use std::fmt::Display;
 use std::fs::File;
@@ -20,16 +20,16 @@
 /// Looks up an environment variable.
 pub(crate) type Environment<'a> = &'a dyn Fn(&str) -> Option<String>;
 
-/// Operand that stands for standard input.
+/// Operand that selects standard input.
 const STANDARD_INPUT: &str = "-";
 
-/// A document from a file, as text and as data.
+/// A configuration document as text and in parsed form.
 pub(crate) struct CheckedDocument {
     pub(crate) text: String,
     pub(crate) document: Document,
 }
 
-/// One command line while it is read.
+/// Parser state of one command line.
 pub(crate) struct Arguments<'a> {
     matches: Matches,
     environment: Environment<'a>,
@@ -57,11 +57,10 @@
         });
     }
 
-    /// Ends the reading: every finding so far, and one for each operand that
-    /// no one asked for.
+    /// Returns an error with every finding so far and one for each operand that was not read.
     pub(crate) fn finish(&mut self) -> Result<()> {
         while let Some(operand) = self.operands.next() {
-            self.add(&operand, "one operand too many", "see --help");
+            self.add(&operand, "unexpected operand", "see --help");
         }
         if self.findings.is_empty() {
             return Ok(());
@@ -70,7 +69,7 @@
         Err(Error::Input { findings })
     }
 
-    /// Next operand; empty, with a finding, where there is none.
+    /// Returns the next operand. If there is none, adds a finding and returns an empty string.
     pub(crate) fn operand(&mut self, name: &str) -> String {
         let Some(operand) = self.operands.next() else {
             self.add(name, "missing", "see --help");
@@ -79,7 +78,7 @@
         operand
     }
 
-    /// Contents of the file that the next operand names.
+    /// Returns the contents of the file named by the next operand.
     pub(crate) fn file(&mut self) -> String {
         let path = self.operand("FILE");
         if path.is_empty() {
@@ -88,19 +87,19 @@
         self.read(&path)
     }
 
-    /// Events in the logs that the rest of the operands name, one at least.
+    /// Reads the log events of the files named by the remaining operands; at least one is required.
     pub(crate) fn logs(&mut self) -> Vec<LogLine> {
         let mut lines = Vec::new();
         self.each_log_line(|line| lines.push(line));
         lines
     }
 
-    /// The same one by one, however many they are.
-    pub(crate) fn each_log_line(&mut self, mut take: impl FnMut(LogLine)) {
+    /// Passes the same events to `handle` one by one, so that memory use does not grow with the logs.
+    pub(crate) fn each_log_line(&mut self, mut handle: impl FnMut(LogLine)) {
         let mut paths = vec![self.operand("FILE")];
         paths.extend(self.operands.by_ref());
         for path in paths.iter().filter(|path| !path.is_empty()) {
-            if let Err(error) = read_log(path, &mut take) {
+            if let Err(error) = read_log(path, &mut handle) {
                 self.add(path, "cannot be read", error);
             }
         }
@@ -117,12 +116,12 @@
         })
     }
 
-    /// Text and contents of the document that the next operand names; what is
-    /// wrong with it is reported together with the faults of the command line.
+    /// Reads and parses the document named by the next operand. Its faults are reported together with
+    /// those of the command line.
     pub(crate) fn document(&mut self) -> CheckedDocument {
-        let faults_before = self.findings.len();
+        let findings_before = self.findings.len();
         let text = self.file();
-        let is_read = self.findings.len() == faults_before;
+        let is_read = self.findings.len() == findings_before;
         let mut document = Document::default();
         match hemlocktack_config::parse(&text) {
             Ok(checked) => document = checked,
@@ -140,27 +139,27 @@
         self.matches.opt_str(flag)
     }
 
-    /// Value of a flag that is a whole number.
+    /// Returns the value of a flag that takes a whole number.
     pub(crate) fn number<T: FromStr>(&mut self, flag: &str) -> Option<T> {
         let text = self.text(flag)?;
         let number = text.parse().ok();
         if number.is_none() {
             let place = format!("--{flag}");
-            let label = format!("{text:?} is not a number that fits here");
+            let label = format!("{text:?} is not a whole number in the valid range");
             self.add(&place, label, "write a whole number");
         }
         number
     }
 
-    /// Value of a flag that must be there.
-    pub(crate) fn needed_number<T: FromStr + Default>(&mut self, flag: &str, help: &str) -> T {
+    /// Returns the value of a required flag that takes a whole number.
+    pub(crate) fn required_number<T: FromStr + Default>(&mut self, flag: &str, help: &str) -> T {
         if !self.is_set(flag) {
             self.add(&format!("--{flag}"), "missing", help);
         }
         self.number(flag).unwrap_or_default()
     }
 
-    /// Value of an environment variable that no flag stands for.
+    /// Returns the value of an environment variable that is set and not empty.
     pub(crate) fn variable(&self, name: &str) -> Option<String> {
         (self.environment)(name).filter(|value| !value.is_empty())
     }
@@ -170,7 +169,7 @@
             .or_else(|| self.variable(setting.variable))
     }
 
-    fn needed_setting(&mut self, setting: &Setting) -> String {
+    fn required_setting(&mut self, setting: &Setting) -> String {
         let value = self.setting(setting);
         if value.is_none() {
             let place = format!("--{}", setting.flag);
@@ -180,32 +179,32 @@
         value.unwrap_or_default()
     }
 
-    /// Form of the report.
+    /// Returns the output format.
     pub(crate) fn format(&mut self) -> Format {
         let Some(name) = self.setting(&settings::OUTPUT) else {
             return Format::Text;
         };
         let Ok(format) = name.parse() else {
-            let label = format!("{name:?} is no form of output");
+            let label = format!("{name:?} is not an output format");
             self.add("--output", label, "write text or json");
             return Format::Text;
         };
         format
     }
 
-    /// Client of the node that the settings name.
+    /// Creates a client of the node that the settings select.
     pub(crate) fn client(&mut self) -> Client {
-        let node_url = self.needed_setting(&settings::NODE_URL);
-        let token = self.needed_setting(&settings::TOKEN);
+        let node_url = self.required_setting(&settings::NODE_URL);
+        let token = self.required_setting(&settings::TOKEN);
         let timeout = self.timeout();
         let is_http = node_url.starts_with("http://") && node_url.len() > "http://".len();
         if !node_url.is_empty() && !is_http {
-            let label = format!("{node_url:?} is no address of a node");
+            let label = format!("{node_url:?} is not a URL of a node");
             let help = "write it as http://10.0.0.7:7401";
             self.add("--node-url", label, help);
         }
         if token.chars().any(char::is_control) {
-            let help = "it has control characters, perhaps a line break at its end";
+            let help = "it contains control characters, perhaps a trailing line break";
             self.add("--token", "the token cannot be sent", help);
         }
         Client::new(node_url, token, timeout)
@@ -218,7 +217,7 @@
         match text.parse() {
             Ok(timeout_ms) if timeout_ms > 0 => Duration::from_millis(timeout_ms),
             _ => {
-                let label = format!("{text:?} is no timeout");
+                let label = format!("{text:?} is not a valid timeout");
                 let help = "write milliseconds, 1 or more";
                 self.add("--timeout-ms", label, help);
                 settings::DEFAULT_TIMEOUT
@@ -227,10 +226,10 @@
     }
 }
 
-fn read_log(path: &str, take: impl FnMut(LogLine)) -> std::io::Result<()> {
+fn read_log(path: &str, handle: impl FnMut(LogLine)) -> std::io::Result<()> {
     match path {
-        STANDARD_INPUT => log_lines::for_each(std::io::stdin().lock(), path, take),
-        path => log_lines::for_each(BufReader::new(File::open(path)?), path, take),
+        STANDARD_INPUT => log_lines::for_each(std::io::stdin().lock(), path, handle),
+        path => log_lines::for_each(BufReader::new(File::open(path)?), path, handle),
     }
 }
 
--- a/crates/hemlocktack-cli/src/catalogue.rs
+++ b/crates/hemlocktack-cli/src/catalogue.rs
@@ -1,9 +1,9 @@
-//! Every command, in the order of the help.
+//! List of all commands, in the order in which the help shows them.
 
 use crate::signature::Signature;
 use crate::{commands, queries};
 
-/// Every command, in the order of the help.
+/// All commands, in the order in which the help shows them.
 pub const CATALOGUE: [&Signature; 12] = [
     &queries::config::check::SIGNATURE,
     &queries::config::diff::SIGNATURE,
@@ -19,7 +19,7 @@
     &queries::logs::summary::SIGNATURE,
 ];
 
-/// The command that the first words select, and how many they are.
+/// Returns the command selected by the first arguments, and the number of its words.
 pub(crate) fn find(arguments: &[String]) -> Option<(&'static Signature, usize)> {
     CATALOGUE.into_iter().find_map(|signature| {
         let count = signature.words.split(' ').count();
@@ -29,7 +29,7 @@
     })
 }
 
-/// Commands that begin with this word and have a second one.
+/// Returns the commands of two words whose first one is `word`.
 pub(crate) fn group(word: &str) -> impl Iterator<Item = &'static Signature> {
     CATALOGUE.into_iter().filter(move |signature| {
         let group = signature.words.split_once(' ').map(|(group, _)| group);
--- a/crates/hemlocktack-cli/src/commands/config/apply.rs
+++ b/crates/hemlocktack-cli/src/commands/config/apply.rs
@@ -1,4 +1,4 @@
-//! `config apply`: store a document as the next generation.
+//! `config apply`: stores a document as the next generation.
 
 use getopts::Options;
 use hemlocktack_protocol::ApplyConfigurationRequest;
@@ -29,7 +29,7 @@
         },
         Example {
             line: "config apply docs/examples/bhadralok.toml --expect-generation 7 --author asha",
-            meaning: "a change that started from generation 7",
+            meaning: "a change based on generation 7",
         },
     ],
     run,
@@ -39,7 +39,7 @@
     options.optopt(
         "",
         EXPECT_GENERATION,
-        "generation that your edit started from; 0 for the first one",
+        "generation that the edit is based on; 0 for the first one",
         "N",
     );
     options.optopt(
@@ -52,8 +52,8 @@
 
 fn run(arguments: &mut Arguments<'_>, output: &mut Output<'_>) -> Result<()> {
     let document = arguments.document().text;
-    let help = "generation that your edit started from: see `hemlocktack config show`";
-    let expected_generation = arguments.needed_number(EXPECT_GENERATION, help);
+    let help = "generation that the edit is based on: see `hemlocktack config show`";
+    let expected_generation = arguments.required_number(EXPECT_GENERATION, help);
     let author = author(arguments);
     let client = arguments.client();
     arguments.finish()?;
@@ -84,13 +84,12 @@
         .unwrap_or_else(|| UNKNOWN_AUTHOR.to_owned())
 }
 
-/// The same command line has the same id.
+/// Returns an id that is the same whenever the same command line is run.
 ///
-/// The failure: the answer is lost after the change took effect, and the
-/// operator, or the script, runs the command again. With a fresh id the second
-/// run would be refused as a conflict with the operator's own change. A digest
-/// of everything that makes up the change is enough: another change, or the
-/// same document on top of another generation, has another id.
+/// If the response is lost after the change took effect, the operator or a script runs the command
+/// again. With a new id, the second run would be refused as a conflict with the operator's own change.
+/// A digest of everything that makes up the change is sufficient: another change, or the same document
+/// on top of another generation, has another id.
 fn change_id(document: &str, expected_generation: u64, author: &str) -> String {
     let mut digest = Sha256::new();
     digest.update(expected_generation.to_be_bytes());
--- a/crates/hemlocktack-cli/src/commands/config/mod.rs
+++ b/crates/hemlocktack-cli/src/commands/config/mod.rs
@@ -1,3 +1,3 @@
-//! Commands on the configuration.
+//! Commands that change the configuration.
 
 pub(crate) mod apply;
--- a/crates/hemlocktack-cli/src/commands/fleet/drain.rs
+++ b/crates/hemlocktack-cli/src/commands/fleet/drain.rs
@@ -1,4 +1,4 @@
-//! `drain`: take a node out of service without cutting off a call.
+//! `drain`: takes a node out of service without interrupting calls.
 
 use hemlocktack_protocol::{DrainNodeRequest, NodeState};
 
@@ -12,11 +12,11 @@
     words: "drain",
     operands: "NODE",
     effect: Effect::Command,
-    summary: "Take a node out of service without cutting off a call.",
+    summary: "Take a node out of service without interrupting calls.",
     flags: no_flags,
     examples: &[Example {
         line: "drain listings-1",
-        meaning: "new calls go elsewhere, running ones finish; `nodes` shows when it has left",
+        meaning: "new calls go to other nodes, running ones finish; `nodes` shows when it has left",
     }],
     run,
 };
@@ -29,7 +29,7 @@
     let response = client.call(&DRAIN_NODE, &request)?;
     let what = match response.state() {
         NodeState::Left => "has left",
-        _ => "drains: it takes nothing new and finishes what is in flight",
+        _ => "is draining: it accepts no new calls and finishes those in flight",
     };
     let text = format!("{} {what}\n", request.node_id);
     output.report(&text, &response)
--- a/crates/hemlocktack-cli/src/commands/fleet/mod.rs
+++ b/crates/hemlocktack-cli/src/commands/fleet/mod.rs
@@ -1,3 +1,3 @@
-//! Commands on nodes.
+//! Commands that change the state of nodes.
 
 pub(crate) mod drain;
--- a/crates/hemlocktack-cli/src/commands/mod.rs
+++ b/crates/hemlocktack-cli/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! Commands: they change the system, and repeating one is safe.
+//! Commands, which change the system and are idempotent.
 
 pub(crate) mod config;
 pub(crate) mod fleet;
--- a/crates/hemlocktack-cli/src/error.rs
+++ b/crates/hemlocktack-cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command did not succeed, and its exit code.
+//! Errors of commands, with their exit codes.
 
 use std::process::ExitCode;
 
@@ -11,24 +11,24 @@
 /// Why a command did not succeed.
 #[derive(Debug, Display, Error, From)]
 pub(crate) enum Error {
-    /// Bad usage or a bad document, with all findings.
+    /// The command line or a document is invalid.
     #[display("bad usage or input")]
     #[from(skip)]
     Input {
-        /// Each with its place.
+        /// All findings, each with its place.
         findings: Vec<Finding>,
     },
     /// The system understood the request and refused it.
     #[display("refused ({}): {}", _0.code, _0.message)]
     #[from(skip)]
     Refused(#[error(not(source))] OperatorError),
-    /// No answer that could be understood came.
+    /// No valid response was received.
     #[display("{node_url} is not reachable: {cause}")]
     #[from(skip)]
     Unreachable {
-        /// Where the request went.
+        /// URL that the request was sent to.
         node_url: String,
-        /// What happened at the last try.
+        /// Cause of the last attempt's failure.
         cause: String,
     },
     /// The report could not be written.
@@ -37,7 +37,8 @@
 }
 
 impl Error {
-    /// 1 refused by the system, 2 bad usage or input, 3 not reachable.
+    /// Returns 1 if the system refused, 2 for bad usage or input, 3 if no node is reachable or the
+    /// report cannot be written.
     pub(crate) fn exit_code(&self) -> ExitCode {
         let code = match self {
             Error::Refused(refusal) if refusal.findings.is_empty() => 1,
@@ -47,7 +48,7 @@
         ExitCode::from(code)
     }
 
-    /// Findings that come with the error.
+    /// Returns the findings that come with the error.
     pub(crate) fn findings(&self) -> &[Finding] {
         match self {
             Error::Input { findings } => findings,
@@ -56,16 +57,16 @@
         }
     }
 
-    /// What the operator can do next.
+    /// Returns a hint about what the operator can do next.
     pub(crate) fn help(&self) -> Option<String> {
         match self {
             Error::Refused(refusal) if refusal.current_generation > 0 => Some(format!(
-                "generation {0} is stored; look at `hemlocktack config show`, \
-                 take its changes in and repeat with --expect-generation {0}",
+                "generation {0} is stored; see `hemlocktack config show`, \
+                 merge its changes and repeat with --expect-generation {0}",
                 refusal.current_generation
             )),
             Error::Unreachable { .. } => {
-                Some("repeating the same command is safe; any node answers".to_owned())
+                Some("repeating the same command is safe; any node can answer it".to_owned())
             }
             _ => None,
         }
--- a/crates/hemlocktack-cli/src/lib.rs
+++ b/crates/hemlocktack-cli/src/lib.rs
@@ -1,5 +1,5 @@
-//! The operators' command line: commands that change something, queries that
-//! do not, and the client of the remote procedure calls behind them.
+//! The operators' command line: commands that change the system, read-only queries, and the RPC
+//! client that both use.
 
 mod app;
 mod arguments;
--- a/crates/hemlocktack-cli/src/log_lines.rs
+++ b/crates/hemlocktack-cli/src/log_lines.rs
@@ -1,4 +1,4 @@
-//! Lines of nodes' logs, read back.
+//! Parses the JSON lines of nodes' logs.
 
 use std::io::BufRead;
 use std::path::Path;
@@ -13,17 +13,17 @@
     pub(crate) at: String,
     /// Milliseconds since the Unix epoch.
     pub(crate) at_ms: f64,
-    /// What stood before the line's object, or else the name of its file.
+    /// Last word before the line's JSON object, or else the file name without its extension.
     pub(crate) source: String,
-    /// Number in the catalogue of events.
+    /// Number of the log event.
     pub(crate) number: u64,
     pub(crate) message: String,
-    /// All else that the line says.
+    /// All other fields of the line.
     pub(crate) fields: Map<String, Value>,
 }
 
 #[derive(Deserialize)]
-struct Written {
+struct RawLogLine {
     timestamp: String,
     number: u64,
     #[serde(default)]
@@ -32,16 +32,16 @@
     fields: Map<String, Value>,
 }
 
-/// Not part of what an event says.
+/// Log level; it is not one of the event's own fields.
 const LEVEL_FIELD: &str = "level";
 
 impl LogLine {
-    /// Value of a field as text, without the quotes of JSON.
+    /// Returns a field's value as text, without JSON quotes.
     pub(crate) fn field(&self, name: &str) -> Option<String> {
         self.fields.get(name).map(text_of)
     }
 
-    /// Fields by name.
+    /// Formats all fields as `name=value` pairs, sorted by name.
     pub(crate) fn fields_text(&self) -> String {
         let pairs = self.fields.iter();
         let pairs = pairs.map(|(name, value)| format!("{name}={}", text_of(value)));
@@ -49,18 +49,18 @@
     }
 }
 
-/// Hands on each event of one log, a line at a time: a log may be larger than the
-/// memory. Lines that are none (a stack trace, the output of another program in the
-/// same file) are passed over.
+/// Passes each event of one log to `handle`, line by line, because a log may be larger than the
+/// memory. Lines that are not events (a stack trace, the output of another program in the same file)
+/// are skipped.
 pub(crate) fn for_each(
     mut log: impl BufRead,
     path: &str,
-    mut take: impl FnMut(LogLine),
+    mut handle: impl FnMut(LogLine),
 ) -> std::io::Result<()> {
     let mut bytes = Vec::new();
     while log.read_until(b'\n', &mut bytes)? > 0 {
         if let Some(line) = parse(&String::from_utf8_lossy(&bytes), path) {
-            take(line);
+            handle(line);
         }
         bytes.clear();
     }
@@ -69,20 +69,21 @@
 
 fn parse(line: &str, path: &str) -> Option<LogLine> {
     let begin = line.find('{')?;
-    let mut written: Written = serde_json::from_str(&line[begin..]).ok()?;
-    written.fields.remove(LEVEL_FIELD);
-    let at_ms = milliseconds(&written.timestamp)?;
+    let mut raw: RawLogLine = serde_json::from_str(&line[begin..]).ok()?;
+    raw.fields.remove(LEVEL_FIELD);
+    let at_ms = milliseconds(&raw.timestamp)?;
     Some(LogLine {
-        at: written.timestamp,
+        at: raw.timestamp,
         at_ms,
         source: source(&line[..begin], path),
-        number: written.number,
-        message: written.message,
-        fields: written.fields,
+        number: raw.number,
+        message: raw.message,
+        fields: raw.fields,
     })
 }
 
-/// Collectors put the machine's name in front, after times of their own.
+/// Returns the name of the machine that wrote the line. Log collectors put it before the JSON object,
+/// after their own timestamp.
 fn source(before: &str, path: &str) -> String {
     let name = before.split_whitespace().last();
     let file = || Path::new(path).file_stem().and_then(|stem| stem.to_str());
@@ -96,7 +97,7 @@
     }
 }
 
-/// Reads `2026-12-02T23:59:01.234567Z`, which is all that nodes write.
+/// Parses a timestamp such as `2026-12-02T23:59:01.234567Z`, the only format that nodes write.
 fn milliseconds(timestamp: &str) -> Option<f64> {
     let (date, time) = timestamp.strip_suffix('Z')?.split_once('T')?;
     let mut date = date.splitn(3, '-').map(|part| part.parse::<i64>().ok());
@@ -105,13 +106,13 @@
     let hours: f64 = time.next()?.parse().ok()?;
     let minutes: f64 = time.next()?.parse().ok()?;
     let seconds: f64 = time.next()?.parse().ok()?;
-    let of_day = (hours * 60.0 + minutes) * 60.0 + seconds;
+    let second_of_day = (hours * 60.0 + minutes) * 60.0 + seconds;
     let days = days_since_epoch(year, month, day) as f64;
-    Some((days * 86_400.0 + of_day) * 1_000.0)
+    Some((days * 86_400.0 + second_of_day) * 1_000.0)
 }
 
-/// Days from 1970-01-01 in the Gregorian calendar: years are counted from March,
-/// so that the leap day is the last of its year.
+/// Returns the days since 1970-01-01 in the Gregorian calendar. Years are counted from March, so that
+/// the leap day is the last day of its year.
 fn days_since_epoch(year: i64, month: i64, day: i64) -> i64 {
     let year = if month <= 2 { year - 1 } else { year };
     let months_since_march = (month + 9) % 12;
--- a/crates/hemlocktack-cli/src/output/failure.rs
+++ b/crates/hemlocktack-cli/src/output/failure.rs
@@ -1,10 +1,10 @@
-//! Findings and failures as text.
+//! Formats findings and errors as text.
 
 use hemlocktack_protocol::Finding;
 
 use crate::error::Error;
 
-/// Each finding on two lines: where and what, then what to do.
+/// Formats each finding as a line with its place and fault, and a line with help if there is any.
 fn findings(findings: &[Finding]) -> String {
     let mut text = String::new();
     for finding in findings {
@@ -24,7 +24,7 @@
     text
 }
 
-/// Text of a failure, for stderr.
+/// Formats an error for stderr.
 pub(crate) fn failure(error: &Error) -> String {
     let mut text = format!("error: {error}\n");
     text += &findings(error.findings());
--- a/crates/hemlocktack-cli/src/output/mod.rs
+++ b/crates/hemlocktack-cli/src/output/mod.rs
@@ -1,4 +1,4 @@
-//! Reports, for people as text and for programs as JSON.
+//! Reports as text for people or as JSON for programs.
 
 mod failure;
 mod table;
@@ -13,7 +13,7 @@
 pub(crate) use failure::failure;
 pub(crate) use table::Table;
 
-/// Form of a report.
+/// Output format of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, EnumString)]
 #[strum(serialize_all = "lowercase")]
 pub(crate) enum Format {
@@ -23,7 +23,7 @@
     Json,
 }
 
-/// Where the reports of one command go.
+/// Writes the reports of one command in the selected format.
 pub(crate) struct Output<'a> {
     format: Format,
     writer: &'a mut dyn Write,
@@ -48,7 +48,7 @@
         Ok(())
     }
 
-    /// Begins a screen that replaces the one before; programs get one value
+    /// Clears the terminal before the next report. JSON output is left alone: programs get one value
     /// after the other.
     pub(crate) fn clear_screen(&mut self) -> Result<()> {
         const CLEAR: &str = "\x1b[2J\x1b[H";
--- a/crates/hemlocktack-cli/src/output/table.rs
+++ b/crates/hemlocktack-cli/src/output/table.rs
@@ -1,4 +1,4 @@
-//! Columns for people.
+//! Plain-text tables.
 
 const GAP: &str = "  ";
 
--- a/crates/hemlocktack-cli/src/queries/calls/explain.rs
+++ b/crates/hemlocktack-cli/src/queries/calls/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: what became of one request, hop by hop.
+//! `explain`: shows what happened to one request at each hop.
 
 use hemlocktack_protocol::{ExplainCallRequest, Outcome, Span};
 
@@ -28,7 +28,7 @@
     let is_trace_id =
         trace_id.len() == TRACE_ID_DIGITS && trace_id.bytes().all(|byte| byte.is_ascii_hexdigit());
     if !trace_id.is_empty() && !is_trace_id {
-        let label = format!("{trace_id:?} is no trace id");
+        let label = format!("{trace_id:?} is not a trace id");
         arguments.add("TRACE", label, "write its 32 hexadecimal digits");
     }
     let client = arguments.client();
--- a/crates/hemlocktack-cli/src/queries/config/check.rs
+++ b/crates/hemlocktack-cli/src/queries/config/check.rs
@@ -1,4 +1,4 @@
-//! `config check`: the node's own checks, without a node.
+//! `config check`: runs the same checks as a node, without contacting one.
 
 use hemlocktack_protocol::CheckConfigurationResponse;
 
@@ -15,7 +15,7 @@
     flags: no_flags,
     examples: &[Example {
         line: "config check docs/examples/bhadralok.toml",
-        meaning: "all findings, each with its place; - reads standard input",
+        meaning: "list all findings with their places; - reads standard input",
     }],
     run,
 };
--- a/crates/hemlocktack-cli/src/queries/config/diff.rs
+++ b/crates/hemlocktack-cli/src/queries/config/diff.rs
@@ -1,4 +1,4 @@
-//! `config diff`: what a document would change.
+//! `config diff`: shows what a document would change.
 
 use hemlocktack_config::{Change, Document, diff, parse};
 use hemlocktack_protocol::ShowConfigurationRequest;
@@ -14,11 +14,11 @@
     words: "config diff",
     operands: "FILE",
     effect: Effect::Query,
-    summary: "Show what a document would change in the newest stored one.",
+    summary: "Show the differences between the newest stored document and this one.",
     flags: no_flags,
     examples: &[Example {
         line: "config diff docs/examples/bhadralok.toml",
-        meaning: "before a review",
+        meaning: "list the changes before a review",
     }],
     run,
 };
@@ -31,7 +31,7 @@
     changes: Vec<ChangeLine>,
 }
 
-/// One change, its kind and its text.
+/// One change.
 #[derive(Serialize)]
 struct ChangeLine {
     kind: &'static str,
@@ -54,7 +54,7 @@
     output.report(&difference.to_text(), &difference)
 }
 
-/// The stored document; nothing at all before the first change.
+/// Parses the stored document. Before the first change there is none, and the default is returned.
 fn stored_document(text: &str) -> Result<Document> {
     if text.is_empty() {
         return Ok(Document::default());
--- a/crates/hemlocktack-cli/src/queries/config/history.rs
+++ b/crates/hemlocktack-cli/src/queries/config/history.rs
@@ -1,4 +1,4 @@
-//! `config history`: who changed the configuration.
+//! `config history`: lists the changes of the configuration with their authors.
 
 use getopts::Options;
 use hemlocktack_protocol::ListConfigurationHistoryRequest;
@@ -26,7 +26,7 @@
 };
 
 fn flags(options: &mut Options) {
-    options.optopt("", LIMIT, "changes at most; 20 where absent", "N");
+    options.optopt("", LIMIT, "maximum number of changes; default: 20", "N");
 }
 
 fn run(arguments: &mut Arguments<'_>, output: &mut Output<'_>) -> Result<()> {
--- a/crates/hemlocktack-cli/src/queries/config/show.rs
+++ b/crates/hemlocktack-cli/src/queries/config/show.rs
@@ -1,4 +1,4 @@
-//! `config show`: a stored document.
+//! `config show`: shows a stored document.
 
 use getopts::Options;
 use hemlocktack_protocol::{ConfigurationDocument, ShowConfigurationRequest};
@@ -15,7 +15,7 @@
     words: "config show",
     operands: "",
     effect: Effect::Query,
-    summary: "Show a stored document, the newest one where no generation is given.",
+    summary: "Show a stored document; the newest one unless a generation is given.",
     flags,
     examples: &[
         Example {
@@ -31,7 +31,12 @@
 };
 
 fn flags(options: &mut Options) {
-    options.optopt("", GENERATION, "a kept generation", "N");
+    options.optopt(
+        "",
+        GENERATION,
+        "generation to show, if it is still kept",
+        "N",
+    );
 }
 
 fn run(arguments: &mut Arguments<'_>, output: &mut Output<'_>) -> Result<()> {
@@ -47,7 +52,7 @@
     output.report(&text, &response)
 }
 
-/// A document that can be edited and applied as it stands.
+/// Formats a document so that it can be edited and applied without other changes.
 fn document_text(configuration: &ConfigurationDocument) -> String {
     let mut text = format!(
         "# generation {}, by {}\n{}",
--- a/crates/hemlocktack-cli/src/queries/fleet/nodes.rs
+++ b/crates/hemlocktack-cli/src/queries/fleet/nodes.rs
@@ -1,4 +1,4 @@
-//! `nodes`: every node that the asked one knows.
+//! `nodes`: lists every node known to the queried node.
 
 use hemlocktack_protocol::ListNodesRequest;
 
--- a/crates/hemlocktack-cli/src/queries/fleet/status.rs
+++ b/crates/hemlocktack-cli/src/queries/fleet/status.rs
@@ -1,4 +1,4 @@
-//! `status`: each service at a glance.
+//! `status`: summarises the state of each service.
 
 use std::collections::BTreeMap;
 use std::thread;
@@ -20,8 +20,8 @@
 const TIMES: &str = "times";
 const INTERVAL_MS: &str = "interval-ms";
 const DEFAULT_INTERVAL_MS: u64 = 2_000;
-/// Each report asks every node.
-const LEAST_INTERVAL_MS: u64 = 200;
+/// Lower bound of the interval, because each report queries every node.
+const MIN_INTERVAL_MS: u64 = 200;
 
 pub(crate) const SIGNATURE: Signature = Signature {
     words: "status",
@@ -45,11 +45,11 @@
 fn flags(options: &mut Options) {
     options.optopt("", SERVICE, "only this service", "NAME");
     options.optflag("", WATCH, "refresh until interrupted");
-    options.optopt("", TIMES, "with --watch: reports before it ends", "N");
+    options.optopt("", TIMES, "with --watch: number of reports", "N");
     options.optopt(
         "",
         INTERVAL_MS,
-        "with --watch: time between reports; 2000 where absent, at least 200",
+        "with --watch: milliseconds between reports; default: 2000, at least 200",
         "N",
     );
 }
@@ -59,7 +59,7 @@
     let interval_ms = arguments
         .number(INTERVAL_MS)
         .unwrap_or(DEFAULT_INTERVAL_MS)
-        .max(LEAST_INTERVAL_MS);
+        .max(MIN_INTERVAL_MS);
     let times = match arguments.is_set(WATCH) {
         true => arguments.number(TIMES).unwrap_or(u64::MAX),
         false => 1,
@@ -72,7 +72,7 @@
     for _ in 0..times {
         output.clear_screen()?;
         match report(&client, service.as_deref(), output) {
-            // The fleet may come back while the operator watches.
+            // The node may become reachable again while the operator watches.
             Err(Error::Unreachable { node_url, cause }) => {
                 let text = format!("{node_url} is not reachable: {cause}\n");
                 output.report(&text, &serde_json::Value::Null)?;
@@ -84,7 +84,7 @@
     Ok(())
 }
 
-/// Asks all nodes whatever the service: its calls enter at any of them.
+/// Queries all nodes even for a single service, because its calls may enter at any node.
 fn report(client: &Client, service: Option<&str>, output: &mut Output<'_>) -> Result<()> {
     let response = client.call(&GET_STATUS, &GetStatusRequest::default())?;
     output.report(&status_text(&response, service), &response)
@@ -122,7 +122,7 @@
     text
 }
 
-/// Sums by service, of its own nodes and of the nodes where its calls enter.
+/// Sums the counts of each service over its own nodes and the nodes where its calls enter.
 fn services(nodes: &[NodeStatus]) -> BTreeMap<&str, ServiceSummary> {
     let mut services = BTreeMap::<&str, ServiceSummary>::new();
     for node in nodes {
--- a/crates/hemlocktack-cli/src/queries/fleet/summary.rs
+++ b/crates/hemlocktack-cli/src/queries/fleet/summary.rs
@@ -1,4 +1,4 @@
-//! Sums over the nodes of a service.
+//! Sums of the nodes' status by service.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -6,7 +6,7 @@
 use hemlocktack_decide::{MAX_CLASSES, ShedLevel};
 use hemlocktack_protocol::{EntryCount, NodeState, NodeStatus, Outcome, Reason, UpstreamState};
 
-/// What all nodes say of one service.
+/// Sums over all nodes for one service.
 #[derive(Default)]
 pub(super) struct ServiceSummary {
     ready_count: usize,
@@ -20,7 +20,7 @@
     in_flight: u64,
     limit: u64,
     queued: u64,
-    most_shed: u32,
+    highest_shed_level: u32,
     quarantined: BTreeSet<u64>,
 }
 
@@ -29,7 +29,7 @@
 struct Reasons(BTreeMap<&'static str, u64>);
 
 impl ServiceSummary {
-    /// Takes in what a node of the service says of itself.
+    /// Adds the status of a node of the service.
     pub(super) fn add_node(&mut self, node: &NodeStatus) {
         let is_draining =
             node.state() == NodeState::Draining || node.upstream() == UpstreamState::Draining;
@@ -44,12 +44,12 @@
             self.in_flight += u64::from(load.in_flight);
             self.limit += u64::from(load.limit);
             self.queued += u64::from(load.queued);
-            self.most_shed = self.most_shed.max(load.shed_level);
+            self.highest_shed_level = self.highest_shed_level.max(load.shed_level);
         }
         self.quarantined.extend(&node.quarantined_fingerprints);
     }
 
-    /// Takes in calls to the service that entered at some node.
+    /// Adds calls to the service that entered at some node.
     pub(super) fn add_entry(&mut self, entry: &EntryCount) {
         match entry.outcome() {
             Outcome::Answered => self.answered_count += entry.count,
@@ -74,13 +74,13 @@
             self.in_flight.to_string(),
             self.limit.to_string(),
             self.queued.to_string(),
-            shed_text(self.most_shed),
+            shed_text(self.highest_shed_level),
             self.draining_count.to_string(),
             self.quarantined.len().to_string(),
         ]
     }
 
-    /// One line for each kind of end that has reasons.
+    /// Formats one line for each kind of outcome that has counts.
     pub(super) fn reasons_text(&self, service: &str) -> String {
         let kinds = [
             ("not run", &self.not_run),
@@ -107,7 +107,7 @@
         self.0.values().sum()
     }
 
-    /// Most frequent first.
+    /// Formats the reasons, most frequent first.
     fn to_text(&self) -> String {
         let mut reasons = self.0.iter().collect::<Vec<_>>();
         reasons.sort_by_key(|(_, count)| Reverse(**count));
@@ -118,7 +118,7 @@
     }
 }
 
-/// Calls to services that no configuration declares are counted together.
+/// Returns the name to show; calls to services that no configuration declares are counted together.
 fn service_name(service: &str) -> &str {
     match service {
         "" => "(undeclared)",
@@ -126,8 +126,8 @@
     }
 }
 
-/// Where shedding cuts: ranks before the named one are admitted whole, of this
-/// one the given share, later ones not at all.
+/// Formats the shed level: ranks before the named one are admitted in full, the named rank with the
+/// given share, and later ranks not at all.
 fn shed_text(packed: u32) -> String {
     let level = ShedLevel::unpack(packed);
     let cut = (0..MAX_CLASSES).find(|rank| level.share_of(*rank) < 1.0);
@@ -137,7 +137,7 @@
     }
 }
 
-/// Which generations are in force on how many nodes, newest first.
+/// Formats the number of nodes on which each generation is in force, newest first.
 pub(super) fn generations_text(nodes: &[NodeStatus]) -> String {
     let mut counts = BTreeMap::<u64, usize>::new();
     for node in nodes {
--- a/crates/hemlocktack-cli/src/queries/fleet/upstreams.rs
+++ b/crates/hemlocktack-cli/src/queries/fleet/upstreams.rs
@@ -1,4 +1,4 @@
-//! `upstreams`: every upstream that announced itself.
+//! `upstreams`: lists every announced upstream.
 
 use getopts::Options;
 use hemlocktack_protocol::ListUpstreamsRequest;
@@ -19,7 +19,7 @@
     flags,
     examples: &[Example {
         line: "upstreams --service listings",
-        meaning: "those of one service",
+        meaning: "the upstreams of one service",
     }],
     run,
 };
--- a/crates/hemlocktack-cli/src/queries/logs/story.rs
+++ b/crates/hemlocktack-cli/src/queries/logs/story.rs
@@ -1,4 +1,4 @@
-//! `logs story`: what became of one request, from the nodes' logs.
+//! `logs story`: shows what the nodes' logs say about one request.
 
 use std::collections::BTreeSet;
 
@@ -15,7 +15,7 @@
     words: "logs story",
     operands: "REQUEST FILE...",
     effect: Effect::Query,
-    summary: "Show all that nodes' logs say of one request and its deeper calls, in order.",
+    summary: "Show all log lines about one request and its child calls, in order.",
     flags,
     examples: &[
         Example {
@@ -30,14 +30,15 @@
     run,
 };
 
-const AROUND: &str = "around-ms";
+const AROUND_FLAG: &str = "around-ms";
 
 fn flags(options: &mut Options) {
-    let help = "also events without a request on the same nodes, so long before and after";
-    options.optopt("", AROUND, help, "MS");
+    let help =
+        "also show events without a request on the same nodes, within this time before and after";
+    options.optopt("", AROUND_FLAG, help, "MS");
 }
 
-/// One request's lines.
+/// Log lines of one request.
 #[derive(Serialize)]
 struct Story {
     request_id: String,
@@ -46,7 +47,7 @@
 
 fn run(arguments: &mut Arguments<'_>, output: &mut Output<'_>) -> Result<()> {
     let request_id = arguments.operand("REQUEST");
-    let around_ms = arguments.number::<u32>(AROUND).map(f64::from);
+    let around_ms = arguments.number::<u32>(AROUND_FLAG).map(f64::from);
     let lines = arguments.logs();
     arguments.finish()?;
     let story = Story {
@@ -56,7 +57,8 @@
     output.report(&text(&story), &story)
 }
 
-/// Lines that name the request or a deeper call of it, and those around them.
+/// Returns the lines that name the request or one of its child calls, and with `around_ms` also lines
+/// without a request id that the same nodes wrote within that time before and after.
 fn lines_of(request_id: &str, lines: Vec<LogLine>, around_ms: Option<f64>) -> Vec<LogLine> {
     let is_named = |line: &LogLine| {
         let named = line.field("request_id");
@@ -88,7 +90,8 @@
     chosen
 }
 
-/// A deeper call is named after its request, with a dot between.
+/// Returns whether `named` is the request's id or that of a child call, which appends a dot and a
+/// suffix.
 fn is_part_of(named: &str, request_id: &str) -> bool {
     let rest = named.strip_prefix(request_id);
     rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('.'))
--- a/crates/hemlocktack-cli/src/queries/logs/summary.rs
+++ b/crates/hemlocktack-cli/src/queries/logs/summary.rs
@@ -1,6 +1,5 @@
-//! `logs summary`: what nodes' logs say of requests that were not served as
-//! wanted. Totals of the fleet come first, then its seconds, then the nodes that
-//! are unlike the others.
+//! `logs summary`: counts refused, repeated and late requests in nodes' logs. The report shows totals
+//! of the fleet, then counts by second, then the nodes whose counts stand out.
 
 mod counts;
 mod nodes;
@@ -19,7 +18,7 @@
     words: "logs summary",
     operands: "FILE...",
     effect: Effect::Query,
-    summary: "Count what nodes' logs say of refused, repeated and late requests, by cause, second and node.",
+    summary: "Count refused, repeated and late requests in nodes' logs, by cause, second and node.",
     flags,
     examples: &[
         Example {
@@ -28,7 +27,7 @@
         },
         Example {
             line: "logs summary --nodes docs/examples/logs/howrah-4.log docs/examples/logs/salt-lake-1.log",
-            meaning: "with a row for each node, also those like the others",
+            meaning: "with a row for every node, not only for outliers",
         },
     ],
     run,
@@ -37,7 +36,7 @@
 const ALL_NODES: &str = "nodes";
 
 fn flags(options: &mut Options) {
-    options.optflag("", ALL_NODES, "a row for each node");
+    options.optflag("", ALL_NODES, "show a row for every node");
 }
 
 #[derive(Serialize)]
@@ -55,11 +54,11 @@
     arguments.each_log_line(|line| counts.count(&line));
     arguments.finish()?;
     let summary = Summary {
-        requests: counts::by_number(counts.requests),
-        sends: counts::by_number(counts.sends),
-        calls: counts::by_number(counts.calls),
-        seconds: counts::from_first(counts.seconds),
-        nodes: nodes::by_number(counts.nodes),
+        requests: counts::by_count(counts.requests),
+        sends: counts::by_count(counts.sends),
+        calls: counts::by_count(counts.calls),
+        seconds: counts::numbered_from_first(counts.seconds),
+        nodes: nodes::by_count(counts.nodes),
     };
     output.report(&text(&summary, with_all_nodes), &summary)
 }
@@ -68,17 +67,17 @@
     if summary.seconds.is_empty() {
         return "no event of a node: are these logs in JSON?\n".to_owned();
     }
-    let (nodes, most) = match with_all_nodes {
+    let (nodes, max_rows) = match with_all_nodes {
         true => (summary.nodes.iter().collect(), usize::MAX),
-        false => (nodes::standing_out(&summary.nodes), nodes::SHOWN_MOST),
+        false => (nodes::outliers(&summary.nodes), nodes::MAX_OUTLIERS_SHOWN),
     };
-    let like_others = summary.nodes.len() - nodes.len();
+    let omitted_count = summary.nodes.len() - nodes.len();
     let parts = [
         causes("requests that ended without an answer", &summary.requests),
         causes("sends that ended without an answer", &summary.sends),
         causes("calls refused beside upstreams", &summary.calls),
         seconds(&summary.seconds),
-        nodes::text(&nodes, most, like_others),
+        nodes::text(&nodes, max_rows, omitted_count),
     ];
     let parts = parts.into_iter().filter(|part| !part.is_empty());
     parts.collect::<Vec<_>>().join("\n")
--- a/crates/hemlocktack-cli/src/queries/logs/summary/counts.rs
+++ b/crates/hemlocktack-cli/src/queries/logs/summary/counts.rs
@@ -1,4 +1,4 @@
-//! What is counted of each line of a log.
+//! Counts log lines by cause, second and node.
 
 use std::collections::BTreeMap;
 
@@ -14,48 +14,48 @@
 const REQUEST_REFUSED: u64 = 713;
 const ANSWERED_LATE: u64 = 714;
 
-const MS_A_SECOND: f64 = 1_000.0;
+const MS_PER_SECOND: f64 = 1_000.0;
 
-/// Numbers of lines by what they say. It grows with the causes, nodes and seconds of
-/// a log and not with its lines.
+/// Line counts by cause, second and node. Memory use grows with the number of causes, nodes and
+/// seconds of a log, not with its lines.
 #[derive(Default)]
 pub(super) struct Counts {
     pub(super) requests: BTreeMap<String, u64>,
     pub(super) sends: BTreeMap<String, u64>,
     pub(super) calls: BTreeMap<String, u64>,
-    /// By the wall clock's second.
+    /// By the second of the Unix time.
     pub(super) seconds: BTreeMap<i64, Second>,
     pub(super) nodes: BTreeMap<String, NodeCount>,
 }
 
-/// What ended for one cause.
+/// Number of lines with the same cause.
 #[derive(Serialize)]
 pub(super) struct Cause {
     pub(super) what: String,
     pub(super) number: u64,
 }
 
-/// What was logged in one second.
+/// Counts of one second.
 #[derive(Clone, Copy, Default, Serialize)]
 pub(super) struct Second {
-    /// Counted from that of the first line.
+    /// Seconds since that of the earliest line.
     pub(super) second: u64,
     /// Requests that ended without an upstream's answer.
     pub(super) refused_requests: u64,
-    /// Sends that ended without one; some were repeated elsewhere.
+    /// Sends that ended without an upstream's answer; some were repeated on another node.
     pub(super) ended_sends: u64,
-    /// Calls that a node refused beside its upstream.
+    /// Calls that the admission of the upstream's node refused.
     pub(super) refused_calls: u64,
     pub(super) late_answers: u64,
-    /// Most calls that waited in front of one upstream.
+    /// Highest number of calls queued for one upstream.
     pub(super) most_waiting: u64,
-    /// Lines that were left out for their number.
+    /// Lines that the nodes did not write because of the log rate limit.
     pub(super) left_out: u64,
 }
 
 impl Counts {
     pub(super) fn count(&mut self, line: &LogLine) {
-        let second = (line.at_ms / MS_A_SECOND) as i64;
+        let second = (line.at_ms / MS_PER_SECOND) as i64;
         let second = self.seconds.entry(second).or_default();
         second.left_out += number(line, "left_out");
         let node = self.nodes.entry(line.source.clone()).or_default();
@@ -101,8 +101,8 @@
         .unwrap_or_default()
 }
 
-/// Adds one to what these fields of the line say together. Words stand by
-/// themselves; numbers and yes or no need their name.
+/// Increments the count of the cause given by these fields of the line. Strings are shown without the
+/// field's name; numbers and booleans need it to be understood.
 fn add(counts: &mut BTreeMap<String, u64>, line: &LogLine, names: &[&str]) {
     let named = names.iter().filter_map(|name| {
         let value = line.fields.get(*name)?;
@@ -115,8 +115,8 @@
     *counts.entry(what).or_default() += 1;
 }
 
-/// Largest first.
-pub(super) fn by_number(counts: BTreeMap<String, u64>) -> Vec<Cause> {
+/// Returns the causes, those with the highest counts first.
+pub(super) fn by_count(counts: BTreeMap<String, u64>) -> Vec<Cause> {
     let causes = counts.into_iter();
     let mut causes: Vec<Cause> = causes
         .map(|(what, number)| Cause { what, number })
@@ -125,8 +125,8 @@
     causes
 }
 
-/// Seconds in order, the first one of the log as zero.
-pub(super) fn from_first(seconds: BTreeMap<i64, Second>) -> Vec<Second> {
+/// Returns the seconds in order, numbered from the first one of the log.
+pub(super) fn numbered_from_first(seconds: BTreeMap<i64, Second>) -> Vec<Second> {
     let first = seconds.keys().next().copied().unwrap_or_default();
     let numbered = seconds.into_iter().map(|(at, counted)| Second {
         second: at.abs_diff(first),
--- a/crates/hemlocktack-cli/src/queries/logs/summary/nodes.rs
+++ b/crates/hemlocktack-cli/src/queries/logs/summary/nodes.rs
@@ -1,4 +1,4 @@
-//! Which nodes are unlike the others.
+//! Selects the nodes whose counts stand out.
 
 use std::collections::BTreeMap;
 
@@ -6,12 +6,12 @@
 
 use crate::output::Table;
 
-/// A node is shown if it counts more than so many times what its like do on average.
+/// A node is an outlier if its count is above this multiple of the mean over all nodes.
 const TIMES_THE_MEAN: f64 = 2.0;
-/// Nodes that are shown of a fleet of any size.
-pub(super) const SHOWN_MOST: usize = 12;
+/// Maximum number of outliers shown, whatever the size of the fleet.
+pub(super) const MAX_OUTLIERS_SHOWN: usize = 12;
 
-/// What one node logged.
+/// Counts of one node.
 #[derive(Clone, Default, Serialize)]
 pub(super) struct NodeCount {
     pub(super) node: String,
@@ -23,14 +23,14 @@
 }
 
 impl NodeCount {
-    /// All that was not as wanted.
+    /// Returns the number of refused, repeated and late requests and calls.
     fn sum(&self) -> u64 {
         self.refused_requests + self.ended_sends + self.refused_calls + self.late_answers
     }
 }
 
-/// Those with most to tell first.
-pub(super) fn by_number(counts: BTreeMap<String, NodeCount>) -> Vec<NodeCount> {
+/// Returns the nodes, those with the highest counts first.
+pub(super) fn by_count(counts: BTreeMap<String, NodeCount>) -> Vec<NodeCount> {
     let named = counts
         .into_iter()
         .map(|(node, count)| NodeCount { node, ..count });
@@ -39,16 +39,16 @@
     nodes
 }
 
-/// Nodes that count far more than the mean.
-pub(super) fn standing_out(nodes: &[NodeCount]) -> Vec<&NodeCount> {
+/// Returns the nodes whose count is far above the mean.
+pub(super) fn outliers(nodes: &[NodeCount]) -> Vec<&NodeCount> {
     let total: u64 = nodes.iter().map(NodeCount::sum).sum();
     let mean = total as f64 / nodes.len().max(1) as f64;
-    let far_above = |node: &&NodeCount| node.sum() as f64 > mean * TIMES_THE_MEAN;
-    nodes.iter().filter(far_above).collect()
+    let is_outlier = |node: &&NodeCount| node.sum() as f64 > mean * TIMES_THE_MEAN;
+    nodes.iter().filter(is_outlier).collect()
 }
 
-/// Rows of these nodes, `most` of them, and how many others there are.
-pub(super) fn text(nodes: &[&NodeCount], most: usize, like_others: usize) -> String {
+/// Formats at most `max_rows` of these nodes, and the numbers of those not shown.
+pub(super) fn text(nodes: &[&NodeCount], max_rows: usize, omitted_count: usize) -> String {
     let heading = [
         "node",
         "refused",
@@ -58,7 +58,7 @@
         "most waiting",
     ];
     let mut table = Table::new(&heading);
-    for node in nodes.iter().take(most) {
+    for node in nodes.iter().take(max_rows) {
         let counts = [
             node.refused_requests,
             node.ended_sends,
@@ -74,12 +74,13 @@
         [] => String::new(),
         _ => table.to_text(),
     };
-    let cut_off = nodes.len().saturating_sub(most);
-    if cut_off > 0 {
-        text += &format!("{cut_off} more count more than twice the mean\n");
+    let outliers_cut = nodes.len().saturating_sub(max_rows);
+    if outliers_cut > 0 {
+        text += &format!("{outliers_cut} more count more than twice the mean\n");
     }
-    if like_others > 0 {
-        text += &format!("{like_others} nodes count less than twice the mean; --nodes shows all\n");
+    if omitted_count > 0 {
+        text +=
+            &format!("{omitted_count} nodes count less than twice the mean; --nodes shows all\n");
     }
     text
 }
--- a/crates/hemlocktack-cli/src/queries/mod.rs
+++ b/crates/hemlocktack-cli/src/queries/mod.rs
@@ -1,4 +1,4 @@
-//! Queries: they change nothing.
+//! Queries, which are read-only.
 
 pub(crate) mod calls;
 pub(crate) mod config;
--- a/crates/hemlocktack-cli/src/rpc/client.rs
+++ b/crates/hemlocktack-cli/src/rpc/client.rs
@@ -1,4 +1,4 @@
-//! One request, sent again where its answer was lost.
+//! Sends one request and repeats it if its response is lost.
 
 use std::error::Error as StdError;
 use std::time::Duration;
@@ -13,26 +13,26 @@
 use crate::error::{Error, Result};
 
 const PROTOBUF: &str = "application/x-protobuf";
-/// Sends of one request. Every method may be repeated: queries change nothing,
-/// and a command carries a change id or names the state that it wants.
-const ATTEMPTS: u32 = 4;
-/// Doubled before each further send, so that a node that restarts is met again
-/// without a burst.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// A status of 560 nodes is well below this.
+/// Maximum number of sends of one request. Every method is idempotent: queries change nothing, and a
+/// command carries a change id or names the state that it wants.
+const MAX_ATTEMPTS: u32 = 4;
+/// Backoff before the first repeat; doubles with each further one, so that a restarting node is
+/// reached again without a burst of requests.
+const FIRST_BACKOFF: Duration = Duration::from_millis(100);
+/// The status of 560 nodes is well below this limit.
 const ANSWER_LIMIT_BYTES: usize = 16 << 20;
 
-/// Client of one node.
+/// RPC client of one node.
 pub(crate) struct Client {
     node_url: String,
     token: String,
     timeout: Duration,
 }
 
-/// Why one send brought nothing.
+/// Why one send got no usable response.
 enum Failure {
-    /// Sending again may help.
-    Passing(Error),
+    /// A repeat may succeed.
+    Transient(Error),
     Final(Error),
 }
 
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Calls a method and waits for its answer.
+    /// Calls a method and waits for its response.
     pub(crate) fn call<Request, Answer>(
         &self,
         method: &Method<Request, Answer>,
@@ -70,19 +70,19 @@
             .no_proxy()
             .build()
             .map_err(|error| self.unreachable(&error))?;
-        let mut pause = FIRST_PAUSE;
-        for _ in 1..ATTEMPTS {
+        let mut backoff = FIRST_BACKOFF;
+        for _ in 1..MAX_ATTEMPTS {
             match self.send(&client, method, body.clone()).await {
                 Ok(answer) => return Ok(answer),
                 Err(Failure::Final(error)) => return Err(error),
-                Err(Failure::Passing(_)) => {}
+                Err(Failure::Transient(_)) => {}
             }
-            tokio::time::sleep(pause).await;
-            pause *= 2;
+            tokio::time::sleep(backoff).await;
+            backoff *= 2;
         }
         let last = self.send(&client, method, body).await;
         last.map_err(|failure| match failure {
-            Failure::Passing(error) | Failure::Final(error) => error,
+            Failure::Transient(error) | Failure::Final(error) => error,
         })
     }
 
@@ -102,10 +102,10 @@
             .await
             .map_err(|error| self.lost(&error))?;
         let status = response.status();
-        let is_ours = is_protobuf(&response);
+        let has_protobuf_body = is_protobuf(&response);
         let answer = self.read(response).await?;
-        if !is_ours {
-            let cause = format!("it answered {status} and is no node of hemlocktack");
+        if !has_protobuf_body {
+            let cause = format!("the response with status {status} is not from a hemlocktack node");
             return Err(Failure::Final(self.unreachable(&cause)));
         }
         if status == StatusCode::OK {
@@ -114,12 +114,12 @@
         Err(self.refusal(answer))
     }
 
-    /// Reads the answer whole; one that ends early is lost, never half taken.
+    /// Reads the whole response body. A truncated body counts as a lost response and is never decoded.
     async fn read(&self, mut response: Response) -> std::result::Result<Bytes, Failure> {
         let mut answer = Vec::new();
         while let Some(chunk) = response.chunk().await.map_err(|error| self.lost(&error))? {
             if answer.len() + chunk.len() > ANSWER_LIMIT_BYTES {
-                let error = self.unreachable(&"its answer is over the limit");
+                let error = self.unreachable(&"the response exceeds the size limit");
                 return Err(Failure::Final(error));
             }
             answer.extend_from_slice(&chunk);
@@ -136,14 +136,14 @@
         let is_transient = code.is_ok_and(OperatorErrorCode::is_transient);
         let error = Error::Refused(refusal);
         match is_transient {
-            true => Failure::Passing(error),
+            true => Failure::Transient(error),
             false => Failure::Final(error),
         }
     }
 
     fn lost(&self, error: &reqwest::Error) -> Failure {
         let cause = root_cause(error);
-        Failure::Passing(self.unreachable(&cause))
+        Failure::Transient(self.unreachable(&cause))
     }
 
     fn unreachable(&self, cause: &dyn ToString) -> Error {
@@ -159,7 +159,7 @@
     content_type.is_some_and(|value| value.as_bytes().starts_with(PROTOBUF.as_bytes()))
 }
 
-/// The library's own message names the URL again and hides what happened.
+/// Returns the innermost cause: `reqwest`'s own message repeats the URL and hides what happened.
 fn root_cause(error: &dyn StdError) -> String {
     let mut cause = error;
     while let Some(source) = cause.source() {
--- a/crates/hemlocktack-cli/src/rpc/methods.rs
+++ b/crates/hemlocktack-cli/src/rpc/methods.rs
@@ -10,7 +10,7 @@
     ShowConfigurationResponse,
 };
 
-/// Name of a method, bound to its messages.
+/// A method's name with its request and response types.
 pub(crate) struct Method<Request, Response> {
     pub(crate) name: &'static str,
     messages: PhantomData<(Request, Response)>,
--- a/crates/hemlocktack-cli/src/settings.rs
+++ b/crates/hemlocktack-cli/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that every command shares, from flags and the environment.
+//! Settings that all commands share, read from flags and environment variables.
 
 use std::time::Duration;
 
@@ -22,23 +22,23 @@
     flag: "token",
     variable: "HEMLOCKTACK_OPERATOR_TOKEN",
     value: "TOKEN",
-    help: "operators' token; prefer the variable, flags show in process lists",
+    help: "operators' token; prefer the variable, because flags are visible in process lists",
 };
 pub(crate) const OUTPUT: Setting = Setting {
     flag: "output",
     variable: "HEMLOCKTACK_OUTPUT",
     value: "text|json",
-    help: "form of the report; text where absent",
+    help: "output format; default: text",
 };
 pub(crate) const TIMEOUT: Setting = Setting {
     flag: "timeout-ms",
     variable: "HEMLOCKTACK_TIMEOUT_MS",
     value: "N",
-    help: "wait for one answer; 5000 where absent",
+    help: "timeout of one request in milliseconds; default: 5000",
 };
 pub(crate) const SETTINGS: [&Setting; 4] = [&NODE_URL, &TOKEN, &OUTPUT, &TIMEOUT];
 
-/// Longer than a node waits for the others that it asks.
+/// Longer than a node waits for the responses of other nodes that it queries.
 pub(crate) const DEFAULT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Adds the shared flags.
--- a/crates/hemlocktack-cli/src/signature.rs
+++ b/crates/hemlocktack-cli/src/signature.rs
@@ -1,4 +1,4 @@
-//! How a command describes itself.
+//! Description of a command.
 
 use getopts::Options;
 
@@ -6,7 +6,7 @@
 use crate::error::Result;
 use crate::output::Output;
 
-/// Whether repeating a command can change anything.
+/// Whether a command changes the system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Changes the system. Repeating it is safe.
@@ -15,12 +15,12 @@
     Query,
 }
 
-/// A command line and what it does, shown by `--help` and run by a test.
+/// An example command line with its explanation, shown by `--help` and run by a test.
 #[derive(Clone, Copy, Debug)]
 pub struct Example {
     /// Command line without the program's name.
     pub line: &'static str,
-    /// What it does, in a few words.
+    /// Short explanation.
     pub meaning: &'static str,
 }
 
@@ -28,19 +28,19 @@
 pub struct Signature {
     /// Words that select it, such as `config apply`.
     pub words: &'static str,
-    /// Arguments after the words, for the usage line.
+    /// Operands after the words, for the usage line.
     pub operands: &'static str,
-    /// Whether it changes anything.
+    /// Whether it changes the system.
     pub effect: Effect,
-    /// One sentence.
+    /// One-sentence description.
     pub summary: &'static str,
-    /// Adds its own flags.
+    /// Adds the command's own flags.
     pub(crate) flags: fn(&mut Options),
-    /// Ways to use it.
+    /// Example command lines.
     pub examples: &'static [Example],
-    /// Does it.
+    /// Runs the command.
     pub(crate) run: fn(&mut Arguments<'_>, &mut Output<'_>) -> Result<()>,
 }
 
-/// For commands that have no flags of their own.
+/// `flags` function of commands without flags of their own.
 pub(crate) fn no_flags(_: &mut Options) {}
--- a/crates/hemlocktack-cli/tests/examples.rs
+++ b/crates/hemlocktack-cli/tests/examples.rs
@@ -1,4 +1,4 @@
-//! Every example of every command, run against a small fleet's answers.
+//! Runs every example of every command against fixed responses of a small fleet.
 #![allow(clippy::unwrap_used)]
 
 mod support {
@@ -70,8 +70,8 @@
     insta::assert_snapshot!(help);
 }
 
-/// An operator who knows the first word of a command only is told that it is no
-/// command, and has to find the others in the list of all.
+/// Guards against answering the first word of a command with `is not a command`, which would make the
+/// operator search the list of all commands.
 #[test]
 fn a_group_alone_or_with_a_flag_for_help_lists_its_commands() {
     let node = FakeNode::start(answers::fleet);
@@ -86,8 +86,8 @@
     assert!(node.seen().is_empty());
 }
 
-/// A document with more classes than decisions keep apart would have its last
-/// classes shed as one, against what the operators wrote.
+/// If a document could have more classes than `hemlocktack-decide` distinguishes, its last classes
+/// would be shed as one, contrary to the document.
 #[test]
 fn documents_have_no_more_classes_than_decisions_keep_apart() {
     assert_eq!(
--- a/crates/hemlocktack-cli/tests/failures.rs
+++ b/crates/hemlocktack-cli/tests/failures.rs
@@ -1,4 +1,4 @@
-//! What an operator sees, and with which exit code, when something is wrong.
+//! Error reports and exit codes.
 #![allow(clippy::unwrap_used)]
 
 #[path = "support/node.rs"]
@@ -98,9 +98,8 @@
     insta::assert_snapshot!(reports);
 }
 
-/// The operator applies a change; the node stores it and its answer is lost on
-/// the way back. Sent again with another change id, it would be refused as a
-/// conflict with the operator's own change.
+/// The node stores a change and its response is lost. A repeat with another change id would be refused
+/// as a conflict with the operator's own change.
 #[test]
 fn a_lost_answer_is_asked_for_again_with_the_same_change_id() {
     let mut stored = None;
@@ -121,8 +120,8 @@
     assert_eq!(node.seen().len(), 2);
 }
 
-/// The operator's own process dies before it learns of the answer, and the
-/// operator types the command again.
+/// The command dies before it receives the response, and the operator runs it again: the change id must
+/// be the same.
 #[test]
 fn a_repeated_command_line_is_the_same_change_and_another_one_is_not() {
     let node = FakeNode::start(|_| answer(ApplyConfigurationResponse::default()));
@@ -141,8 +140,8 @@
     assert_ne!(ids[0], ids[3]);
 }
 
-/// The platform is out for a moment while a change is applied: the node cannot
-/// say what became of the write, then it can.
+/// The platform is unavailable for a moment while a change is applied. The node reports that the
+/// outcome is unknown, and a repeat succeeds.
 #[test]
 fn a_passing_refusal_is_tried_again() {
     let mut count = 0;
@@ -163,11 +162,11 @@
 
 #[test]
 fn answers_that_cannot_be_taken_count_as_not_reachable() {
-    let cut_short = || DrainNodeResponse { state: 3 }.encode_to_vec();
+    let truncated = || DrainNodeResponse { state: 3 }.encode_to_vec();
     let mut reports = String::new();
     for (name, reply) in [
         ("lost", (|| Reply::Lost) as fn() -> Reply),
-        ("foreign", || Reply::Foreign),
+        ("foreign", || Reply::NotANode),
         ("garbled", || Reply::Answer(vec![0xff; 9])),
     ] {
         let node = FakeNode::start(move |_| reply());
@@ -175,7 +174,7 @@
         assert_eq!(report.exit_code, 3, "{name}: {}", report.to_text());
         reports += &format!("{name}: {} sends\n", node.seen().len());
     }
-    let node = FakeNode::start(move |_| Reply::CutShort(cut_short()));
+    let node = FakeNode::start(move |_| Reply::Truncated(truncated()));
     assert_eq!(node.run("drain keys-1").exit_code, 3);
     insta::assert_snapshot!(reports);
 }
--- a/crates/hemlocktack-cli/tests/logs.rs
+++ b/crates/hemlocktack-cli/tests/logs.rs
@@ -1,4 +1,4 @@
-//! Logs of nodes as collectors leave them.
+//! `logs` commands on nodes' logs as log collectors write them.
 #![allow(clippy::unwrap_used)]
 
 use std::io::Write;
@@ -24,9 +24,8 @@
     child.wait_with_output().unwrap()
 }
 
-/// Two nodes' lines come interleaved and out of order, with what a collector put
-/// in front; a deeper call belongs to its request, a longer id does not; lines
-/// that no node wrote, or only half of, are passed over.
+/// Lines of two nodes are interleaved, out of order and prefixed by a collector. A child call belongs to
+/// its request, a longer id does not. Lines that are not events, or are truncated, are skipped.
 #[test]
 fn a_story_is_told_in_order_whatever_stands_between() {
     let logs = r#"
@@ -61,9 +60,8 @@
     assert!(text.contains("/nowhere/at/all.log"), "{text}");
 }
 
-/// Logs of 40 nodes, of which one refuses far more than the others. What the fleet
-/// refused comes first, and the one node after it: forty rows would hide it. Bytes
-/// that are no text belong to another program and end nothing.
+/// One of 40 nodes refuses far more than the others. The fleet's totals come first, then only that
+/// node, which forty rows would hide. Invalid UTF-8 of another program must not end the reading.
 #[test]
 fn a_summary_of_many_nodes_shows_totals_and_those_unlike_the_others() {
     let mut logs: Vec<u8> = (0..40).flat_map(|node| refusals(node, 1)).collect();
@@ -80,8 +78,8 @@
     );
 }
 
-/// More nodes stand out than fit. The rest of them is counted as what it is: said to
-/// be like the others, they would be passed over.
+/// There are more outliers than are shown. Those left out must be counted as outliers: counted among
+/// the other nodes, they would be overlooked.
 #[test]
 fn nodes_that_stand_out_and_are_not_shown_are_counted_as_such() {
     let logs: Vec<u8> = (0..60)
@@ -98,7 +96,7 @@
     assert!(text.contains("40 nodes count less than"), "{text}");
 }
 
-/// Lines of one node about requests that it refused.
+/// Returns log lines of one node about requests that it refused.
 fn refusals(node: usize, count: usize) -> Vec<u8> {
     let line = format!(
         "node-{node} {{\"timestamp\":\"2024-03-01T00:00:00.100000Z\",\"number\":713,\
--- a/crates/hemlocktack-cli/tests/support/answers.rs
+++ b/crates/hemlocktack-cli/tests/support/answers.rs
@@ -1,4 +1,4 @@
-//! A small fleet's answers to every method.
+//! Fixed responses of a small fleet to every method.
 
 use hemlocktack_decide::MAX_CLASSES;
 use hemlocktack_protocol::{
@@ -11,9 +11,9 @@
 
 use prost::Message;
 
-use super::{Reply, Seen, answer};
+use super::{ReceivedRequest, Reply, answer};
 
-pub(crate) fn fleet(seen: &Seen) -> Reply {
+pub(crate) fn fleet(seen: &ReceivedRequest) -> Reply {
     let method = seen.path.rsplit('/').next().unwrap();
     match method {
         "ApplyConfiguration" => answer(ApplyConfigurationResponse {
@@ -33,7 +33,7 @@
     }
 }
 
-fn show(seen: &Seen) -> ShowConfigurationResponse {
+fn show(seen: &ReceivedRequest) -> ShowConfigurationResponse {
     let request = ShowConfigurationRequest::decode(seen.body.as_slice()).unwrap();
     let generation = match request.generation {
         0 => 7,
--- a/crates/hemlocktack-cli/tests/support/node.rs
+++ b/crates/hemlocktack-cli/tests/support/node.rs
@@ -1,4 +1,4 @@
-//! A node that only answers the operators' calls, and runs of the binary against it.
+//! A fake node that serves only the operators' methods, and helpers that run the binary against it.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -14,9 +14,9 @@
 pub(crate) const TOKEN: &str = "not-for-the-eyes-of-others";
 const PROTOBUF: &str = "application/x-protobuf";
 
-/// One request as the fake node saw it.
+/// One request that the fake node received.
 #[derive(Clone, Debug)]
-pub(crate) struct Seen {
+pub(crate) struct ReceivedRequest {
     pub(crate) path: String,
     pub(crate) authorization: String,
     pub(crate) body: Vec<u8>,
@@ -26,12 +26,12 @@
 pub(crate) enum Reply {
     Answer(Vec<u8>),
     Refusal(OperatorError),
-    /// Closes the connection without an answer.
+    /// Closes the connection without a response.
     Lost,
-    /// Declares a whole answer and sends half of it.
-    CutShort(Vec<u8>),
-    /// Some other program's page.
-    Foreign,
+    /// Declares the full length and sends half of the body.
+    Truncated(Vec<u8>),
+    /// An HTML page, as another program would send it.
+    NotANode,
 }
 
 pub(crate) fn answer(message: impl Message) -> Reply {
@@ -46,17 +46,17 @@
     }
 }
 
-type Handler = Box<dyn FnMut(&Seen) -> Reply + Send>;
+type Handler = Box<dyn FnMut(&ReceivedRequest) -> Reply + Send>;
 
 pub(crate) struct FakeNode {
     address: String,
-    seen: Arc<Mutex<Vec<Seen>>>,
+    seen: Arc<Mutex<Vec<ReceivedRequest>>>,
     stopping: Arc<AtomicBool>,
     acceptor: Option<JoinHandle<()>>,
 }
 
 impl FakeNode {
-    pub(crate) fn start(handler: impl FnMut(&Seen) -> Reply + Send + 'static) -> Self {
+    pub(crate) fn start(handler: impl FnMut(&ReceivedRequest) -> Reply + Send + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap().to_string();
         let seen = Arc::new(Mutex::new(Vec::new()));
@@ -82,7 +82,7 @@
         }
     }
 
-    pub(crate) fn seen(&self) -> Vec<Seen> {
+    pub(crate) fn seen(&self) -> Vec<ReceivedRequest> {
         self.seen.lock().unwrap().clone()
     }
 
@@ -110,7 +110,7 @@
     }
 }
 
-/// What one run of the binary left behind.
+/// Output and exit code of one run of the binary.
 pub(crate) struct Report {
     pub(crate) stdout: String,
     pub(crate) stderr: String,
@@ -126,7 +126,7 @@
     }
 }
 
-/// Runs the binary with these environment variables and no others of its own.
+/// Runs the binary with these environment variables and no others.
 pub(crate) fn run(line: &str, variables: &[(&str, &str)]) -> Report {
     let root = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
     let output = Command::new(env!("CARGO_BIN_EXE_hemlocktack"))
@@ -151,14 +151,14 @@
     }
 }
 
-fn serve(mut stream: TcpStream, seen: &Mutex<Vec<Seen>>, handler: &mut Handler) {
+fn serve(mut stream: TcpStream, seen: &Mutex<Vec<ReceivedRequest>>, handler: &mut Handler) {
     let request = read_request(&stream);
     seen.lock().unwrap().push(request.clone());
     let (status, content_type, body, sent) = match handler(&request) {
         Reply::Lost => return,
         Reply::Answer(body) => (200, PROTOBUF, body.clone(), body.len()),
-        Reply::CutShort(body) => (200, PROTOBUF, body.clone(), body.len() / 2),
-        Reply::Foreign => (200, "text/html", b"<html>".to_vec(), 6),
+        Reply::Truncated(body) => (200, PROTOBUF, body.clone(), body.len() / 2),
+        Reply::NotANode => (200, "text/html", b"<html>".to_vec(), 6),
         Reply::Refusal(error) => {
             let status = error.code.parse::<OperatorErrorCode>().unwrap().status();
             let body = error.encode_to_vec();
@@ -174,7 +174,7 @@
     stream.write_all(&body[..sent]).unwrap();
 }
 
-fn read_request(stream: &TcpStream) -> Seen {
+fn read_request(stream: &TcpStream) -> ReceivedRequest {
     let mut reader = BufReader::new(stream);
     let mut request_line = String::new();
     reader.read_line(&mut request_line).unwrap();
@@ -194,7 +194,7 @@
     }
     let mut body = vec![0; length];
     reader.read_exact(&mut body).unwrap();
-    Seen {
+    ReceivedRequest {
         path: request_line.split(' ').nth(1).unwrap().to_owned(),
         authorization,
         body,
