--- a/crates/hemlocktack-testkit/examples/platform.rs
+++ b/crates/hemlocktack-testkit/examples/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in as a process. Prints its address as the first line.
+//! Runs the platform's stand-in as a process. Prints its address on the first line.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -13,10 +13,10 @@
     options.optopt(
         "",
         "address",
-        "listen here; port 0 for a free one",
+        "address to listen on; port 0 selects a free one",
         "IP:PORT",
     );
-    options.optflag("h", "help", "print this");
+    options.optflag("h", "help", "show this help");
     let matches = match options.parse(std::env::args().skip(1)) {
         Ok(matches) if matches.free.is_empty() => matches,
         Ok(matches) => return refuse(&format!("unexpected argument {:?}", matches.free[0])),
--- a/crates/hemlocktack-testkit/examples/upstream.rs
+++ b/crates/hemlocktack-testkit/examples/upstream.rs
@@ -1,4 +1,4 @@
-//! The upstream stand-in as a process. Prints its address as the first line.
+//! Runs the upstream's stand-in as a process. Prints its address on the first line.
 
 use std::process::ExitCode;
 use std::str::FromStr;
@@ -13,23 +13,33 @@
     options.optopt(
         "",
         "address",
-        "listen here; port 0 for a free one",
+        "address to listen on; port 0 selects a free one",
         "IP:PORT",
     );
     options.optopt("", "service", "name of its service", "NAME");
     options.optopt("", "node-control", "control address of its node", "IP:PORT");
     options.optopt("", "node-callers", "caller address of its node", "IP:PORT");
-    options.optopt("", "slots", "calls that run at once", "COUNT");
-    options.optopt("", "connections", "connections it announces", "COUNT");
-    options.optopt("", "service-time-ms", "time that a call takes", "MS");
-    options.optopt("", "cold-ms", "slow for so long after the start", "MS");
+    options.optopt(
+        "",
+        "slots",
+        "number of calls that run concurrently",
+        "COUNT",
+    );
+    options.optopt(
+        "",
+        "connections",
+        "number of connections that it announces",
+        "COUNT",
+    );
+    options.optopt("", "service-time-ms", "time that a call runs", "MS");
+    options.optopt("", "cold-ms", "duration of the cold start", "MS");
     options.optmulti(
         "",
         "deeper",
-        "call made for each call",
+        "child call made for each call",
         "'METHOD service/path'",
     );
-    options.optflag("h", "help", "print this");
+    options.optflag("h", "help", "show this help");
     options
 }
 
--- a/crates/hemlocktack-testkit/src/datagram_relay.rs
+++ b/crates/hemlocktack-testkit/src/datagram_relay.rs
@@ -1,4 +1,4 @@
-//! A UDP relay on loopback that a test disturbs.
+//! UDP relay on loopback that drops datagrams in the directions that a test selects.
 
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
@@ -11,36 +11,36 @@
 
 use crate::Result;
 
-/// Which datagrams are lost.
+/// Directions in which datagrams are lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Loss {
     /// None.
     #[default]
     None,
-    /// Those on their way to the target.
+    /// From the senders to the target.
     TowardsTarget,
-    /// The target's replies.
+    /// From the target back to the senders.
     TowardsSender,
-    /// All.
+    /// Both directions.
     Both,
 }
 
-/// Passes datagrams to a target and its replies back to whoever sent them.
+/// Forwards datagrams to a target, and the target's replies to the sender.
 pub struct DatagramRelay {
-    /// Address to send to.
+    /// Address that senders use.
     pub address: SocketAddr,
     loss: Arc<watch::Sender<Loss>>,
     task: JoinHandle<()>,
 }
 
-/// Larger than any datagram of loopback.
+/// Larger than any datagram on loopback.
 const BUFFER_BYTES: usize = 64 << 10;
 
 impl DatagramRelay {
     /// Receives on `address` in front of `target`.
     ///
     /// # Errors
-    /// The address cannot be received on.
+    /// Fails if the address cannot be bound.
     pub async fn spawn(address: SocketAddr, target: SocketAddr) -> Result<DatagramRelay> {
         let socket = Arc::new(UdpSocket::bind(address).await?);
         let address = socket.local_addr()?;
@@ -53,7 +53,7 @@
         })
     }
 
-    /// Changes which datagrams are lost.
+    /// Sets which datagrams are lost.
     pub fn set(&self, loss: Loss) {
         self.loss.send_replace(loss);
     }
@@ -65,10 +65,10 @@
     }
 }
 
-/// Each sender gets a socket of its own towards the target, so that replies can
-/// be told apart.
+/// Forwards datagrams. Each sender has its own socket to the target, so that a reply can be assigned to
+/// its sender.
 async fn forward(socket: Arc<UdpSocket>, target: SocketAddr, loss: Arc<watch::Sender<Loss>>) {
-    let mut ways: HashMap<SocketAddr, Way> = HashMap::new();
+    let mut sockets: HashMap<SocketAddr, SenderSocket> = HashMap::new();
     let mut buffer = vec![0; BUFFER_BYTES];
     loop {
         let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
@@ -77,54 +77,56 @@
         if matches!(*loss.borrow(), Loss::TowardsTarget | Loss::Both) {
             continue;
         }
-        let way = match ways.entry(from) {
+        let socket_to_target = match sockets.entry(from) {
             Entry::Occupied(known) => known.into_mut(),
             Entry::Vacant(free) => {
-                let opened = Way::open(socket.clone(), from, target, loss.clone());
-                let Ok(way) = opened.await else { continue };
-                free.insert(way)
+                let opened = SenderSocket::open(socket.clone(), from, target, loss.clone());
+                let Ok(socket_to_target) = opened.await else {
+                    continue;
+                };
+                free.insert(socket_to_target)
             }
         };
-        // Lost where it cannot be sent, as datagrams are.
-        let _ = way.towards.send(&buffer[..length]).await;
+        // A datagram that cannot be sent is lost, as on a real network.
+        let _ = socket_to_target.to_target.send(&buffer[..length]).await;
     }
 }
 
-struct Way {
-    towards: Arc<UdpSocket>,
+struct SenderSocket {
+    to_target: Arc<UdpSocket>,
     replies: JoinHandle<()>,
 }
 
-impl Way {
+impl SenderSocket {
     async fn open(
         socket: Arc<UdpSocket>,
         sender: SocketAddr,
         target: SocketAddr,
         loss: Arc<watch::Sender<Loss>>,
-    ) -> Result<Way> {
-        let towards = Arc::new(UdpSocket::bind(SocketAddr::new(target.ip(), 0)).await?);
-        towards.connect(target).await?;
-        let replies = tokio::spawn(reply(towards.clone(), socket, sender, loss));
-        Ok(Way { towards, replies })
+    ) -> Result<SenderSocket> {
+        let to_target = Arc::new(UdpSocket::bind(SocketAddr::new(target.ip(), 0)).await?);
+        to_target.connect(target).await?;
+        let replies = tokio::spawn(reply(to_target.clone(), socket, sender, loss));
+        Ok(SenderSocket { to_target, replies })
     }
 }
 
-impl Drop for Way {
+impl Drop for SenderSocket {
     fn drop(&mut self) {
         self.replies.abort();
     }
 }
 
 async fn reply(
-    towards: Arc<UdpSocket>,
+    to_target: Arc<UdpSocket>,
     socket: Arc<UdpSocket>,
     sender: SocketAddr,
     loss: Arc<watch::Sender<Loss>>,
 ) {
     let mut buffer = vec![0; BUFFER_BYTES];
     loop {
-        // An error says that the target does not listen, now.
-        let Ok(length) = towards.recv(&mut buffer).await else {
+        // An error means that the target is not listening at the moment.
+        let Ok(length) = to_target.recv(&mut buffer).await else {
             continue;
         };
         if !matches!(*loss.borrow(), Loss::TowardsSender | Loss::Both) {
--- a/crates/hemlocktack-testkit/src/http.rs
+++ b/crates/hemlocktack-testkit/src/http.rs
@@ -1,4 +1,4 @@
-//! Answers that both stand-ins give, whole and faulty ones.
+//! Intact and faulty HTTP answers of both stand-ins.
 
 use std::future::Future;
 use std::io::Cursor;
@@ -17,7 +17,7 @@
 const READ_LIMIT_MIB: u32 = 16;
 /// Bytes that a lost answer declares and does not send.
 const MISSING_BYTES: usize = 64;
-/// Enough for the bytes before it to leave the server.
+/// Long enough for the bytes before the pause to leave the server.
 const CUT_PAUSE: Duration = Duration::from_millis(30);
 /// Longer than any timeout in a test.
 const STALL: Duration = Duration::from_secs(120);
@@ -30,12 +30,12 @@
     fault: Option<BodyFault>,
 }
 
-/// How an answer ends before its declared length.
+/// How an answer ends before its declared length is sent.
 #[derive(Clone, Copy)]
 enum BodyFault {
-    /// Nothing of it leaves: the server closes before it has sent the head.
+    /// The server closes the connection before it sends the head.
     Lost,
-    /// Head and so many bytes leave; the connection closes after the pause.
+    /// The head and this many bytes are sent; the connection closes after the pause.
     StopsAfter(usize, Duration),
 }
 
@@ -58,22 +58,22 @@
         self
     }
 
-    /// Closes the connection in place of an answer.
+    /// Closes the connection instead of answering.
     pub(crate) fn lost(mut self) -> Reply {
         self.fault = Some(BodyFault::Lost);
         self
     }
 
-    /// Declares the whole length, sends this many bytes and closes the connection.
+    /// Declares the full length, sends this many bytes and closes the connection.
     ///
-    /// The pause lets those bytes leave: closed at once, the server would send
-    /// nothing at all, which is another fault.
+    /// The pause lets those bytes leave the server. If it closed the connection immediately, it would
+    /// send nothing at all, which is another fault.
     pub(crate) fn cut_after(mut self, sent_bytes: usize) -> Reply {
         self.fault = Some(BodyFault::StopsAfter(sent_bytes, CUT_PAUSE));
         self
     }
 
-    /// Declares the whole length, sends this many bytes and keeps the connection open.
+    /// Declares the full length, sends this many bytes and keeps the connection open.
     pub(crate) fn stall_after(mut self, sent_bytes: usize) -> Reply {
         self.fault = Some(BodyFault::StopsAfter(sent_bytes, STALL));
         self
@@ -104,7 +104,7 @@
     }
 }
 
-/// Some bytes, then nothing until its end.
+/// A body that sends some bytes and ends after a pause.
 struct PartialBody {
     bytes: Cursor<Vec<u8>>,
     end: Pin<Box<Sleep>>,
@@ -132,7 +132,7 @@
     }
 }
 
-/// The request's body, or `None` where it could not be read whole.
+/// Reads the request's body. Returns `None` if it could not be read completely.
 pub(crate) async fn read_body(data: Data<'_>) -> Option<Vec<u8>> {
     let body = data.open(READ_LIMIT_MIB.mebibytes()).into_bytes().await;
     match body {
@@ -141,25 +141,25 @@
     }
 }
 
-/// The request's body as JSON.
+/// Reads the request's body as JSON.
 pub(crate) async fn read_json(data: Data<'_>) -> Option<Value> {
     let body = read_body(data).await?;
     serde_json::from_slice(&body).ok()
 }
 
-/// Path without its leading slash, percent-decoded.
+/// Returns the path without its leading slash, percent-decoded.
 pub(crate) fn path_of(request: &Request<'_>) -> String {
     let path = request.uri().path();
     let decoded = path.percent_decode_lossy();
     decoded.trim_start_matches('/').to_owned()
 }
 
-/// A parameter of the query as a number.
+/// Returns a query parameter as a number.
 pub(crate) fn number(request: &Request<'_>, name: &str) -> Option<u64> {
     request.query_value::<u64>(name)?.ok()
 }
 
-/// A parameter of the query as text.
+/// Returns a query parameter as text.
 pub(crate) fn text(request: &Request<'_>, name: &str) -> Option<String> {
     request.query_value::<String>(name)?.ok()
 }
--- a/crates/hemlocktack-testkit/src/lib.rs
+++ b/crates/hemlocktack-testkit/src/lib.rs
@@ -1,5 +1,5 @@
-//! Small stand-ins for tests: the platform's object API, an upstream, and
-//! relays that disturb what goes through them. Each also runs as a process (`examples/`).
+//! Test stand-ins for the platform's object API and for an upstream, and relays that disturb the
+//! traffic through them. The stand-ins also run as processes (`examples/`).
 
 mod addresses;
 mod datagram_relay;
--- a/crates/hemlocktack-testkit/src/mutated_json.rs
+++ b/crates/hemlocktack-testkit/src/mutated_json.rs
@@ -1,4 +1,4 @@
-//! Messages that are nearly right, for readers that have to take or refuse them.
+//! Randomly mutated JSON messages, which parsers have to accept or reject without failing.
 
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -6,7 +6,8 @@
 use proptest::test_runner::RngSeed;
 use serde_json::{Value, json};
 
-/// The same cases in each run, as many as `PROPTEST_CASES` says, or else 256.
+/// Returns a configuration with a fixed seed, so that each run has the same cases. `PROPTEST_CASES`
+/// sets their number; the default is 256.
 pub fn fixed_seed_config(seed: u64) -> ProptestConfig {
     ProptestConfig {
         rng_seed: RngSeed::Fixed(seed),
@@ -15,7 +16,7 @@
     }
 }
 
-/// Values that stand where another kind is due, or at the edge of their own.
+/// Generates values of a wrong type or at the limits of their type.
 fn odd_value() -> impl Strategy<Value = Value> {
     prop_oneof![
         Just(Value::Null),
@@ -33,22 +34,22 @@
     ]
 }
 
-/// A message with some of its values replaced or gone; its text seldom has a byte
-/// changed or its end cut off, as most readers look no further then.
+/// Generates texts of the message with one to three values replaced or removed. Only every tenth text
+/// has a byte changed, and every tenth is truncated, because most parsers stop early on such texts.
 pub fn mutated(message: fn() -> Value) -> impl Strategy<Value = Vec<u8>> {
     let values = vec((any::<Index>(), proptest::option::of(odd_value())), 1..4);
     let byte = proptest::option::weighted(0.1, (any::<Index>(), any::<u8>()));
     let cut = proptest::option::weighted(0.1, any::<Index>());
     (values, byte, cut).prop_map(move |(values, byte, cut)| {
         let mut message = message();
-        for (place, value) in values {
-            let mut left = place.index(count(&message).max(1));
-            change(&mut message, &mut left, &value);
+        for (position, value) in values {
+            let mut left = position.index(count(&message).max(1));
+            mutate(&mut message, &mut left, &value);
         }
         let mut text = message.to_string().into_bytes();
-        if let Some((place, byte)) = byte {
-            let place = place.index(text.len());
-            text[place] = byte;
+        if let Some((position, byte)) = byte {
+            let position = position.index(text.len());
+            text[position] = byte;
         }
         if let Some(cut) = cut {
             text.truncate(cut.index(text.len()));
@@ -57,7 +58,7 @@
     })
 }
 
-/// Values inside a value, at any depth.
+/// Counts the values inside a value, at any depth.
 fn count(value: &Value) -> usize {
     match value {
         Value::Array(items) => items.iter().map(|item| 1 + count(item)).sum(),
@@ -66,49 +67,50 @@
     }
 }
 
-/// Replaces the value with this number, or takes it out. Whether it was found.
-fn change(value: &mut Value, left: &mut usize, to: &Option<Value>) -> bool {
-    for place in places(value) {
+/// Replaces the value with index `left` in depth-first order, or removes it if `to` is `None`. Returns
+/// whether there is such a value.
+fn mutate(value: &mut Value, left: &mut usize, to: &Option<Value>) -> bool {
+    for position in positions(value) {
         if *left == 0 {
             match to {
-                Some(to) => *inner(value, &place) = to.clone(),
-                None => take_out(value, &place),
+                Some(to) => *value_at(value, &position) = to.clone(),
+                None => remove_at(value, &position),
             }
             return true;
         }
         *left -= 1;
-        if change(inner(value, &place), left, to) {
+        if mutate(value_at(value, &position), left, to) {
             return true;
         }
     }
     false
 }
 
-/// Where a value stands in the one around it.
-enum Place {
+/// Position of a value in its parent.
+enum Position {
     Item(usize),
     Field(String),
 }
 
-fn places(value: &Value) -> Vec<Place> {
+fn positions(value: &Value) -> Vec<Position> {
     match value {
-        Value::Array(items) => (0..items.len()).map(Place::Item).collect(),
-        Value::Object(fields) => fields.keys().cloned().map(Place::Field).collect(),
+        Value::Array(items) => (0..items.len()).map(Position::Item).collect(),
+        Value::Object(fields) => fields.keys().cloned().map(Position::Field).collect(),
         _ => Vec::new(),
     }
 }
 
-fn inner<'a>(value: &'a mut Value, place: &Place) -> &'a mut Value {
-    match place {
-        Place::Item(number) => &mut value[number],
-        Place::Field(name) => &mut value[name],
+fn value_at<'a>(value: &'a mut Value, position: &Position) -> &'a mut Value {
+    match position {
+        Position::Item(number) => &mut value[number],
+        Position::Field(name) => &mut value[name],
     }
 }
 
-fn take_out(value: &mut Value, place: &Place) {
-    match (value, place) {
-        (Value::Array(items), Place::Item(number)) => drop(items.remove(*number)),
-        (Value::Object(fields), Place::Field(name)) => drop(fields.remove(name)),
+fn remove_at(value: &mut Value, position: &Position) {
+    match (value, position) {
+        (Value::Array(items), Position::Item(number)) => drop(items.remove(*number)),
+        (Value::Object(fields), Position::Field(name)) => drop(fields.remove(name)),
         _ => panic!("the place is of another value"),
     }
 }
--- a/crates/hemlocktack-testkit/src/platform/counts.rs
+++ b/crates/hemlocktack-testkit/src/platform/counts.rs
@@ -1,27 +1,27 @@
-//! Calls by kind, each counted once, a waiting watch as one.
+//! Counts of calls by kind. A watch counts once, however long it waits.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use serde::{Deserialize, Serialize};
 
-/// Calls taken so far, refused ones too.
+/// Counts of calls received so far, including refused ones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Of one object.
+    /// Reads of one object.
     pub gets: u64,
-    /// Of a prefix.
+    /// Lists of a prefix.
     pub lists: u64,
-    /// Waiting or over.
+    /// Watches, waiting or ended.
     pub watches: u64,
     /// Conditional writes.
     pub puts: u64,
     /// Conditional deletes.
     pub deletes: u64,
-    /// Writes and deletes that found another version.
+    /// Writes and deletes refused because of another version.
     pub conflicts: u64,
 }
 
-/// What is counted.
+/// Kind of call, or a conflict, that is counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Kind {
     Get,
--- a/crates/hemlocktack-testkit/src/platform/mod.rs
+++ b/crates/hemlocktack-testkit/src/platform/mod.rs
@@ -16,10 +16,10 @@
 use crate::Result;
 use crate::server::{Server, serve};
 
-/// Largest value that is stored.
+/// Size limit of a stored value.
 pub const VALUE_LIMIT_BYTES: usize = 1 << 20;
 
-/// A running stand-in; ends when dropped.
+/// A running stand-in, stopped when dropped.
 pub struct Platform {
     server: Server,
     shared: Arc<Shared>,
@@ -31,10 +31,10 @@
     counts: counts::Counters,
 }
 
-/// Starts a stand-in; port 0 takes a free one.
+/// Starts a stand-in; port 0 selects a free one.
 ///
 /// # Errors
-/// The address cannot be listened on.
+/// Fails if the address cannot be listened on.
 pub async fn spawn(address: SocketAddr) -> Result<Platform> {
     let shared = Arc::new(Shared {
         store: store::Store::default(),
@@ -46,7 +46,7 @@
 }
 
 impl Platform {
-    /// Address that it listens on.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address
     }
@@ -56,7 +56,7 @@
         self.shared.switches.send_replace(switches);
     }
 
-    /// Calls taken so far, by kind.
+    /// Returns the calls received so far, by kind.
     pub fn counts(&self) -> Counts {
         self.shared.counts.read()
     }
--- a/crates/hemlocktack-testkit/src/platform/routes.rs
+++ b/crates/hemlocktack-testkit/src/platform/routes.rs
@@ -1,4 +1,4 @@
-//! The object API over HTTP, and the switches and counts beside it.
+//! HTTP routes of the object API, and of the switches and counts for tests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -124,7 +124,7 @@
         }
     }
 
-    /// The write has taken effect; its answer may still be lost.
+    /// Answers a write that has taken effect; drops the answer while `lose_answers` is not 0.
     fn written(&self, version: u64) -> Reply {
         let reply = Reply::json(200, &json!({ "version": version }));
         let lost = self.switches.send_if_modified(|switches| {
--- a/crates/hemlocktack-testkit/src/platform/store.rs
+++ b/crates/hemlocktack-testkit/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! Versioned objects in memory.
+//! In-memory store of versioned objects.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use tokio::sync::watch;
 
-/// One object as it goes into answers.
+/// One object, as included in answers.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct Object {
     pub(crate) key: String,
@@ -17,20 +17,20 @@
     pub(crate) deleted: bool,
 }
 
-/// Objects and the revision they were read at.
+/// Objects with the revision at which they were read.
 #[derive(Debug, Serialize)]
 pub(crate) struct Listing {
     pub(crate) revision: u64,
     pub(crate) objects: Vec<Object>,
 }
 
-/// The object has another version, 0 where it does not exist.
+/// The object has another version than expected; 0 if it does not exist.
 #[derive(Debug)]
 pub(crate) struct Conflict {
     pub(crate) current_version: u64,
 }
 
-/// Deleted objects stay as markers, so that watches see them.
+/// Deleted objects are kept as tombstones, so that watches report them.
 #[derive(Debug, Default)]
 struct Objects {
     revision: u64,
@@ -65,7 +65,7 @@
         listing
     }
 
-    /// Objects under the prefix that changed after the revision.
+    /// Returns the objects under the prefix that changed after the revision, including deleted ones.
     pub(crate) fn changes(&self, prefix: &str, after: u64) -> Listing {
         let objects = self.lock();
         let changed = objects
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Replaces the value, or deletes the object where there is none.
+    /// Stores the value, or deletes the object if `value` is `None`.
     pub(crate) fn write(
         &self,
         key: &str,
--- a/crates/hemlocktack-testkit/src/platform/switches.rs
+++ b/crates/hemlocktack-testkit/src/platform/switches.rs
@@ -1,21 +1,21 @@
-//! Faults that a test can switch on.
+//! Faults of the platform that a test can switch on.
 
 use serde::{Deserialize, Serialize};
 
-/// All faults; the default is none.
+/// All faults; none is switched on by default.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Switches {
-    /// Every call is answered 503 and has no effect; waiting watches end.
+    /// Every call is answered with 503 and has no effect; waiting watches end.
     pub down: bool,
-    /// Waits this long before a call is looked at.
+    /// Delay before a call is processed.
     pub slow_ms: u64,
-    /// So many writes take effect and their answers are cut; counts down.
+    /// Number of further writes that take effect but whose answers are dropped; decremented by each.
     pub lose_answers: u32,
-    /// Watches are cut, the waiting ones too.
+    /// Connections of watches are closed, including those of waiting ones.
     pub drop_watches: bool,
-    /// Only the newest revision is known: watches after an older one are 410.
+    /// Only the newest revision is known: a watch after an older one is answered with 410.
     pub forgets_revisions: bool,
-    /// Answers are not what the interface says.
+    /// Answers do not conform to the interface.
     pub malformed: bool,
 }
--- a/crates/hemlocktack-testkit/src/relay.rs
+++ b/crates/hemlocktack-testkit/src/relay.rs
@@ -1,6 +1,5 @@
-//! A TCP relay on loopback that a test disturbs: connections through it are
-//! delayed, all or by chance, held up one way or both, cut, refused, or silenced
-//! for good.
+//! TCP relay on loopback that disturbs connections as a test selects: it delays all or random pieces,
+//! holds bytes in one direction or both, closes or refuses connections, or silences them for good.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,36 +15,36 @@
 
 use crate::Result;
 
-/// What becomes of bytes on their way.
+/// What the relay does with bytes and connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RelayMode {
-    /// They go through at once.
+    /// Forwards bytes immediately.
     #[default]
     Open,
-    /// They go through so much later.
+    /// Forwards bytes after this delay.
     Delayed(Duration),
-    /// Towards the target, so many pieces of a hundred go through so much later, as
-    /// those that a path loses: what newer connections carry overtakes them.
+    /// Delays a random share of the pieces sent to the target, as a lossy path does by retransmission:
+    /// data on newer connections overtakes them.
     RandomDelay {
-        /// Pieces of a hundred.
+        /// Percentage of pieces that are delayed.
         percent: u32,
-        /// How much later.
+        /// Delay of such a piece.
         by: Duration,
     },
-    /// They wait, in these directions, until the passage changes.
+    /// Holds bytes in these directions until the mode changes.
     Held(HeldDirection),
-    /// Connections are cut, and new ones closed as soon as they are accepted.
+    /// Closes all connections, and new ones as soon as they are accepted.
     Refused,
 }
 
-/// Directions in which bytes wait.
+/// Directions in which bytes are held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeldDirection {
-    /// From who connected to the target.
+    /// From the connecting side to the target.
     TowardsTarget,
-    /// From the target back.
+    /// From the target to the connecting side.
     TowardsCaller,
-    /// Neither side hears of the other.
+    /// Both directions.
     BothWays,
 }
 
@@ -68,7 +67,7 @@
         }
     }
 
-    /// How much later a piece goes through.
+    /// Returns the delay of one piece.
     fn delay(self, direction: Direction) -> Duration {
         match self {
             RelayMode::Delayed(time) => time,
@@ -84,81 +83,80 @@
     }
 }
 
-/// Passes bytes between its own address and a target.
+/// Forwards connections from its own address to a target.
 pub struct Relay {
     /// Address to connect to.
     pub address: SocketAddr,
-    passage: Arc<watch::Sender<RelayMode>>,
-    /// Connections opened before this number end or stay silent.
-    present: Arc<watch::Sender<Present>>,
+    mode: Arc<watch::Sender<RelayMode>>,
+    existing: Arc<watch::Sender<ExistingConnections>>,
     accepted: Arc<AtomicU64>,
     task: JoinHandle<()>,
 }
 
-/// What has been done to connections that were there at the time.
+/// Faults of connections that existed when the fault was set. Connections are numbered in the order in
+/// which they are accepted; those below these numbers are closed or silenced.
 #[derive(Clone, Copy, Default)]
-struct Present {
-    cut_before: u64,
-    silent_before: u64,
+struct ExistingConnections {
+    closed_below: u64,
+    silenced_below: u64,
 }
 
 impl Relay {
     /// Listens on `address` (port 0 for a free one) in front of `target`.
     ///
     /// # Errors
-    /// The address cannot be listened on.
+    /// Fails if the address cannot be listened on.
     pub async fn spawn(address: SocketAddr, target: SocketAddr) -> Result<Relay> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
-        let passage = Arc::new(watch::Sender::new(RelayMode::Open));
-        let present = Arc::new(watch::Sender::new(Present::default()));
+        let mode = Arc::new(watch::Sender::new(RelayMode::Open));
+        let existing = Arc::new(watch::Sender::new(ExistingConnections::default()));
         let accepted = Arc::new(AtomicU64::new(0));
-        let accepting = Accepting {
+        let acceptor = Acceptor {
             target,
-            passage: passage.clone(),
-            present: present.clone(),
+            mode: mode.clone(),
+            existing: existing.clone(),
             accepted: accepted.clone(),
         };
         Ok(Relay {
             address,
-            passage,
-            present,
+            mode,
+            existing,
             accepted,
-            task: tokio::spawn(accepting.run(listener)),
+            task: tokio::spawn(acceptor.run(listener)),
         })
     }
 
-    /// Changes what becomes of bytes, on present and on new connections.
-    pub fn set(&self, passage: RelayMode) {
-        self.passage.send_replace(passage);
+    /// Sets the mode of existing and new connections.
+    pub fn set(&self, mode: RelayMode) {
+        self.mode.send_replace(mode);
     }
 
-    /// Cuts every connection; new ones are closed as soon as they are accepted.
+    /// Closes all connections, and new ones as soon as they are accepted.
     pub fn cut(&self) {
         self.set(RelayMode::Refused);
     }
 
-    /// Lets new connections through again.
+    /// Forwards new connections again.
     pub fn restore(&self) {
         self.set(RelayMode::Open);
     }
 
-    /// Ends the present connections; new ones go through.
+    /// Closes the existing connections; new ones are forwarded.
     pub fn cut_existing(&self) {
         let next = self.accepted_count();
-        self.present
-            .send_modify(|present| present.cut_before = next);
+        self.existing
+            .send_modify(|existing| existing.closed_below = next);
     }
 
-    /// The present connections stay open and never carry another byte; new
-    /// ones go through.
+    /// Keeps the existing connections open without forwarding another byte; new ones are forwarded.
     pub fn silence_existing(&self) {
         let next = self.accepted_count();
-        self.present
-            .send_modify(|present| present.silent_before = next);
+        self.existing
+            .send_modify(|existing| existing.silenced_below = next);
     }
 
-    /// Connections accepted so far.
+    /// Returns the number of connections accepted so far.
     pub fn accepted_count(&self) -> u64 {
         self.accepted.load(Ordering::Relaxed)
     }
@@ -171,63 +169,68 @@
     }
 }
 
-struct Accepting {
+struct Acceptor {
     target: SocketAddr,
-    passage: Arc<watch::Sender<RelayMode>>,
-    present: Arc<watch::Sender<Present>>,
+    mode: Arc<watch::Sender<RelayMode>>,
+    existing: Arc<watch::Sender<ExistingConnections>>,
     accepted: Arc<AtomicU64>,
 }
 
-impl Accepting {
+impl Acceptor {
     async fn run(self, listener: TcpListener) {
-        while let Ok((near, _)) = listener.accept().await {
+        while let Ok((client, _)) = listener.accept().await {
             let number = self.accepted.fetch_add(1, Ordering::Relaxed);
-            let passing = Passing {
+            let connection = Connection {
                 number,
-                passage: self.passage.subscribe(),
-                present: self.present.subscribe(),
+                mode: self.mode.subscribe(),
+                existing: self.existing.subscribe(),
             };
-            if *self.passage.borrow() != RelayMode::Refused {
-                tokio::spawn(pass(near, self.target, passing));
+            if *self.mode.borrow() != RelayMode::Refused {
+                tokio::spawn(forward(client, self.target, connection));
             }
         }
     }
 }
 
-/// One connection's view of what is done to it.
+/// State of one connection, with the relay's current settings.
 #[derive(Clone)]
-struct Passing {
+struct Connection {
     number: u64,
-    passage: watch::Receiver<RelayMode>,
-    present: watch::Receiver<Present>,
+    mode: watch::Receiver<RelayMode>,
+    existing: watch::Receiver<ExistingConnections>,
 }
 
-async fn pass(near: TcpStream, target: SocketAddr, passing: Passing) {
-    let ended = passing.clone().ended();
+async fn forward(client: TcpStream, target: SocketAddr, connection: Connection) {
+    let closed = connection.clone().closed();
     tokio::select! {
-        () = copy_both_ways(near, target, passing) => {}
-        () = ended => {}
+        () = copy_both_ways(client, target, connection) => {}
+        () = closed => {}
     }
 }
 
-async fn copy_both_ways(near: TcpStream, target: SocketAddr, passing: Passing) {
-    let Ok(far) = TcpStream::connect(target).await else {
+async fn copy_both_ways(client: TcpStream, target: SocketAddr, connection: Connection) {
+    let Ok(server) = TcpStream::connect(target).await else {
         return;
     };
-    // Small messages would wait for each other's acknowledgement.
-    if near.set_nodelay(true).is_err() || far.set_nodelay(true).is_err() {
+    // Without `TCP_NODELAY` small messages would wait for the acknowledgement of earlier ones.
+    if client.set_nodelay(true).is_err() || server.set_nodelay(true).is_err() {
         return;
     }
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
     tokio::join!(
         copy(
-            near_read,
-            far_write,
+            client_read,
+            server_write,
             Direction::TowardsTarget,
-            passing.clone()
+            connection.clone()
+        ),
+        copy(
+            server_read,
+            client_write,
+            Direction::TowardsCaller,
+            connection
         ),
-        copy(far_read, near_write, Direction::TowardsCaller, passing),
     );
 }
 
@@ -235,14 +238,14 @@
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     direction: Direction,
-    mut passing: Passing,
+    mut connection: Connection,
 ) {
     let mut buffer = vec![0; 16 << 10];
     loop {
         let read = from.read(&mut buffer).await;
-        passing.let_through(direction).await;
+        connection.wait_to_forward(direction).await;
         let Ok(length @ 1..) = read else {
-            // The other side learns of the end when the passage lets it.
+            // The end of the stream is forwarded like data, once the mode permits it.
             let _ = to.shutdown().await;
             return;
         };
@@ -252,29 +255,29 @@
     }
 }
 
-impl Passing {
-    /// Ends when the connection is cut.
-    async fn ended(mut self) {
+impl Connection {
+    /// Completes when the relay closes the connection.
+    async fn closed(mut self) {
         let number = self.number;
-        let refused = self
-            .passage
-            .wait_for(|passage| *passage == RelayMode::Refused);
-        let cut = self.present.wait_for(|present| number < present.cut_before);
+        let refused = self.mode.wait_for(|mode| *mode == RelayMode::Refused);
+        let cut = self
+            .existing
+            .wait_for(|existing| number < existing.closed_below);
         tokio::select! {
             _ = refused => {}
             _ = cut => {}
         }
     }
 
-    /// Waits until bytes of this direction may go on.
-    async fn let_through(&mut self, direction: Direction) {
-        let is_silent = self.number < self.present.borrow().silent_before;
+    /// Waits until bytes in this direction may be forwarded.
+    async fn wait_to_forward(&mut self, direction: Direction) {
+        let is_silent = self.number < self.existing.borrow().silenced_below;
         if is_silent {
             return std::future::pending().await;
         }
-        let opened = self.passage.wait_for(|passage| !passage.holds(direction));
-        let passage = opened.await.map_or(RelayMode::Open, |passage| *passage);
-        let delay = passage.delay(direction);
+        let opened = self.mode.wait_for(|mode| !mode.holds(direction));
+        let mode = opened.await.map_or(RelayMode::Open, |mode| *mode);
+        let delay = mode.delay(direction);
         if !delay.is_zero() {
             tokio::time::sleep(delay).await;
         }
--- a/crates/hemlocktack-testkit/src/server.rs
+++ b/crates/hemlocktack-testkit/src/server.rs
@@ -1,4 +1,4 @@
-//! Starts and stops a rocket server that a test owns.
+//! Starts and stops a Rocket server owned by a test.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
     #[display("the server ended before it listened on {address}")]
     #[from(skip)]
     Ended {
-        /// Address that was asked for.
+        /// Address that was requested.
         address: SocketAddr,
     },
 }
@@ -39,7 +39,7 @@
     Method::Options,
 ];
 
-/// A running server; ends when dropped.
+/// A running server, stopped when dropped.
 pub(crate) struct Server {
     pub(crate) address: SocketAddr,
     shutdown: rocket::Shutdown,
@@ -51,7 +51,7 @@
     }
 }
 
-/// Serves every path and usual method by one handler.
+/// Serves all paths and the usual methods with one handler.
 pub(crate) async fn serve<H: Handler + Clone>(address: SocketAddr, handler: H) -> Result<Server> {
     let (bound, listening) = oneshot::channel();
     let report = AdHoc::on_liftoff("report address", move |rocket| {
--- a/crates/hemlocktack-testkit/src/upstream/announce.rs
+++ b/crates/hemlocktack-testkit/src/upstream/announce.rs
@@ -1,4 +1,4 @@
-//! Announcement to the node, its renewal, and the end of it.
+//! Announces the upstream to its node, renews the announcement and reports a drain.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,19 +10,20 @@
 
 use crate::upstream::Shared;
 
-const FIRST_TRIES_EVERY: Duration = Duration::from_millis(100);
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Announces and renews for ever; while draining, crashed or switched off it only waits.
-pub(crate) async fn keep_announced(shared: Arc<Shared>, address: SocketAddr) {
+/// Announces the upstream and renews the announcement until the task is aborted. Sends nothing while
+/// the upstream is draining or crashed, or announcements are switched off.
+pub(crate) async fn renew_announcement(shared: Arc<Shared>, address: SocketAddr) {
     let Some(node_control) = shared.settings.node_control else {
         return;
     };
     loop {
-        let mut wait = FIRST_TRIES_EVERY;
+        let mut wait = RETRY_INTERVAL;
         if shared.announces() {
             let renew_every = announce(&shared, node_control, address).await;
-            wait = renew_every.unwrap_or(FIRST_TRIES_EVERY);
+            wait = renew_every.unwrap_or(RETRY_INTERVAL);
         }
         tokio::time::sleep(wait).await;
     }
--- a/crates/hemlocktack-testkit/src/upstream/child_calls.rs
+++ b/crates/hemlocktack-testkit/src/upstream/child_calls.rs
@@ -1,4 +1,4 @@
-//! Calls that an upstream makes through the node beside it.
+//! Child calls that an upstream makes through its node.
 
 use serde::Serialize;
 use serde_json::Value;
@@ -10,7 +10,7 @@
 const OUTCOME_HEADER: &str = "hemlocktack-outcome";
 const REASON_HEADER: &str = "hemlocktack-reason";
 
-/// What became of a deeper call, as it goes into the answer.
+/// Result of a child call, as included in the parent call's answer.
 #[derive(Debug, Serialize)]
 pub(crate) struct ChildAnswer {
     pub(crate) call: String,
@@ -26,7 +26,7 @@
     }
 }
 
-/// Makes them in order; the first that fails is the last.
+/// Makes the child calls in order and stops after the first one that fails.
 pub(crate) async fn make_child_calls(shared: &Shared, call: &Call) -> Vec<ChildAnswer> {
     let mut answers = Vec::new();
     for (index, child_call) in shared.settings.child_calls.iter().enumerate() {
@@ -58,7 +58,7 @@
             format!("http://{node_callers}/{}", child_call.path),
         )
         .header("x-marker", &call.marker)
-        // The same whenever this call is made again for the same parent.
+        // The key is the same whenever this call is repeated for the same parent.
         .header("idempotency-key", format!("deeper-{index}"));
     if let Some(context) = &call.context {
         request = request.header(CONTEXT_HEADER, context);
--- a/crates/hemlocktack-testkit/src/upstream/counts.rs
+++ b/crates/hemlocktack-testkit/src/upstream/counts.rs
@@ -1,4 +1,4 @@
-//! What an upstream has done, by request marker.
+//! Counts of the calls that an upstream received.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,32 +8,32 @@
 
 use crate::upstream::Shared;
 
-/// What an upstream has done so far.
+/// Counts of one upstream since it was spawned.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Calls that were started, by marker; the unmarked under `""`.
+    /// Calls that were started, by marker; calls without a marker are under `""`.
     pub starts: BTreeMap<String, u64>,
-    /// Calls that were worked to their end.
+    /// Calls that ran to completion.
     pub finished: u64,
-    /// Calls answered 503 not-run.
+    /// Calls answered with 503 and `hemlocktack-outcome: not-run`.
     pub shed: u64,
-    /// Calls whose time was over before they started.
+    /// Calls whose deadline passed before they started.
     pub too_late: u64,
-    /// Running and waiting now.
+    /// Calls that are running or waiting for a slot.
     pub in_flight: u64,
     /// Announcements that the node accepted.
     pub announcements: u64,
-    /// Load reports that were asked for.
+    /// Load reports that were requested.
     pub load_reports: u64,
 }
 
 impl Counts {
-    /// Starts of the calls with that marker.
+    /// Returns how many calls with this marker were started.
     pub fn starts_of(&self, marker: &str) -> u64 {
         self.starts.get(marker).copied().unwrap_or_default()
     }
 
-    /// Starts of all calls.
+    /// Returns how many calls were started.
     pub fn all_starts(&self) -> u64 {
         self.starts.values().sum()
     }
--- a/crates/hemlocktack-testkit/src/upstream/mod.rs
+++ b/crates/hemlocktack-testkit/src/upstream/mod.rs
@@ -21,7 +21,7 @@
 use crate::server::{Server, serve};
 use crate::{Relay, Result};
 
-/// A running stand-in; ends when dropped.
+/// A running stand-in, stopped when dropped.
 pub struct Upstream {
     address: SocketAddr,
     shared: Arc<Shared>,
@@ -45,17 +45,17 @@
 /// Starts a stand-in that announces itself until it is dropped.
 ///
 /// # Errors
-/// The address cannot be listened on.
+/// Fails if the address cannot be listened on.
 pub async fn spawn(settings: Settings) -> Result<Upstream> {
     let shared_cell = Arc::new(std::sync::OnceLock::new());
-    let behind_relay = settings.crash == Crash::CutConnections;
-    let listen = if behind_relay {
+    let has_relay = settings.crash == Crash::CutConnections;
+    let listen = if has_relay {
         SocketAddr::new(settings.address.ip(), 0)
     } else {
         settings.address
     };
     let server = serve(listen, routes::Routes(shared_cell.clone())).await?;
-    let front = if behind_relay {
+    let front = if has_relay {
         Some(Relay::spawn(settings.address, server.address).await?)
     } else {
         None
@@ -64,7 +64,7 @@
     let shared = shared_cell
         .get_or_init(|| Arc::new(Shared::new(settings, front)))
         .clone();
-    let announcing = tokio::spawn(announce::keep_announced(shared.clone(), address));
+    let announcing = tokio::spawn(announce::renew_announcement(shared.clone(), address));
     Ok(Upstream {
         address,
         shared,
@@ -74,7 +74,7 @@
 }
 
 impl Upstream {
-    /// Address that it listens on and announces.
+    /// Returns the address that it listens on and announces.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -84,17 +84,17 @@
         self.shared.switches.send_replace(switches);
     }
 
-    /// What it has done so far.
+    /// Returns the counts so far.
     pub fn counts(&self) -> Counts {
         self.shared.counts()
     }
 
-    /// Tells its node that it is leaving, and is not announced from then on.
+    /// Tells its node that it is draining, and stops renewing its announcement.
     pub async fn drain(&self) {
         announce::drain(&self.shared).await;
     }
 
-    /// Comes back, cold, after a crash or a drain.
+    /// Accepts calls again after a crash or a drain; the cold start begins anew.
     pub fn restart(&self) {
         self.shared.restart();
     }
--- a/crates/hemlocktack-testkit/src/upstream/routes.rs
+++ b/crates/hemlocktack-testkit/src/upstream/routes.rs
@@ -1,4 +1,4 @@
-//! The upstream over HTTP, with its switches and counts beside the calls.
+//! HTTP routes of the upstream: its calls, and the switches and counts for tests.
 
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, OnceLock};
@@ -14,7 +14,7 @@
 use crate::upstream::work::Call;
 use crate::upstream::{Shared, Switches, announce};
 
-/// The state is set once the address is known, before any call can come.
+/// Route handler. Its state is set once the address is known, before the address is announced.
 #[derive(Clone)]
 pub(crate) struct Routes(pub(crate) Arc<OnceLock<Arc<Shared>>>);
 
--- a/crates/hemlocktack-testkit/src/upstream/settings.rs
+++ b/crates/hemlocktack-testkit/src/upstream/settings.rs
@@ -1,35 +1,35 @@
-//! What an upstream is started with, and the faults a test can switch on.
+//! Settings of an upstream, and the faults that a test can switch on.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 use strum::{Display, EnumString, IntoStaticStr};
 
-/// Fixed for the stand-in's life.
+/// Settings that stay the same while the stand-in runs.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Listens here; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free one.
     pub address: SocketAddr,
-    /// Name of its service, part of each answer.
+    /// Name of its service, included in each answer.
     pub service: String,
-    /// Control address of the node beside it; `None` announces nothing.
+    /// Control address of its node; with `None` it is not announced.
     pub node_control: Option<SocketAddr>,
-    /// Caller address of that node; needed for deeper calls.
+    /// Caller address of its node; required for child calls.
     pub node_callers: Option<SocketAddr>,
-    /// Calls that run at once; more wait inside the upstream.
+    /// Number of calls that run concurrently; further calls wait inside the upstream.
     pub slots: u32,
-    /// Connections that it announces.
+    /// Number of connections that it announces.
     pub connections: u32,
-    /// Made one after another for each call.
+    /// Child calls made one after another for each call.
     pub child_calls: Vec<ChildCall>,
-    /// What a crash does.
+    /// Effect of a crash.
     pub crash: Crash,
-    /// Switches at the start.
+    /// Initial switches.
     pub switches: Switches,
 }
 
 impl Settings {
-    /// A small upstream of that service on a free loopback port.
+    /// Returns the settings of a small upstream of this service on a free loopback port.
     pub fn new(service: &str) -> Settings {
         Settings {
             address: SocketAddr::from(([127, 0, 0, 1], 0)),
@@ -45,7 +45,7 @@
     }
 }
 
-/// A call that the upstream makes through its node for each of its calls.
+/// A call that the upstream makes through its node for each call that it runs.
 #[derive(Clone, Debug, PartialEq, Eq, derive_more::Display)]
 #[display("{method} {path}")]
 pub struct ChildCall {
@@ -68,7 +68,7 @@
     }
 }
 
-/// What a crash does.
+/// Effect of a crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Crash {
     /// Cuts every connection and refuses new ones until `restart`.
@@ -77,45 +77,45 @@
     Exit,
 }
 
-/// One way for a call to go wrong.
+/// Fault of a call.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, EnumString, IntoStaticStr, Serialize, Deserialize,
 )]
 #[strum(serialize_all = "kebab-case")]
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
-    /// Starts, then takes the whole upstream down.
+    /// The call starts and crashes the whole upstream.
     Crash,
-    /// Runs; the connection is closed before anything of the answer has left.
+    /// The call runs; the connection is closed before any byte of the answer is sent.
     NoAnswer,
-    /// Runs; the answer's connection is closed before its declared end.
+    /// The call runs; the connection is closed before the declared end of the answer.
     ShortBody,
-    /// Runs; half of the answer, then nothing more on an open connection.
+    /// The call runs; only the first bytes of the answer are sent, and the connection stays open.
     StalledBody,
-    /// Does not start: 503 and `hemlocktack-outcome: not-run`.
+    /// The call does not start: 503 and `hemlocktack-outcome: not-run`.
     Shed,
-    /// Runs, then claims what `Shed` says, as one does that passes up the
-    /// refusal of a deeper call.
+    /// The call runs and is answered as with `Shed`, as by an upstream that forwards the refusal of a
+    /// child call.
     ShedAfterRun,
-    /// Runs, and answers 500.
+    /// The call runs and is answered with 500.
     Error,
 }
 
-/// Can be changed while it runs; the default is a healthy upstream.
+/// Settings that can be changed while the upstream runs; the default is a healthy upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Switches {
-    /// Time that a call takes.
+    /// Time that a call runs.
     pub service_time_ms: u64,
-    /// After a start, service time is four times as long for so long.
+    /// Duration of the cold start, during which the service time is four times as long.
     pub cold_ms: u64,
-    /// Sheds what would make more than this run and wait at once.
+    /// Sheds a call if this many are already running or waiting.
     pub shed_above: Option<u64>,
-    /// Reported in place of the true number in flight.
+    /// Reported instead of the actual number of calls in flight.
     pub reported_in_flight: Option<u64>,
-    /// What goes wrong, besides the fault that a request asks for itself.
+    /// Fault of calls whose request does not select one itself.
     pub fault: Option<Fault>,
-    /// Only requests with one of these markers; empty: all.
+    /// Limits `fault` to requests with one of these markers; empty means all requests.
     pub fault_markers: Vec<String>,
     /// Whether it renews its announcement.
     pub announce: bool,
--- a/crates/hemlocktack-testkit/src/upstream/work.rs
+++ b/crates/hemlocktack-testkit/src/upstream/work.rs
@@ -1,4 +1,4 @@
-//! One call: wait for a slot, work, call deeper, answer.
+//! Runs one call: waits for a slot, takes the service time, makes the child calls and answers.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -13,11 +13,11 @@
 
 const COLD_FACTOR: u32 = 4;
 const CRASH_EXIT_CODE: i32 = 70;
-/// Part of an answer that a faulty one still sends.
+/// Bytes that an answer with a body fault still sends.
 const SENT_BYTES_OF_FAULTY_BODY: usize = 12;
 const ECHO_LIMIT_BYTES: usize = 256;
 
-/// A call as the stand-in sees it.
+/// A received call.
 #[derive(Clone, Debug)]
 pub(crate) struct Call {
     pub(crate) method: String,
@@ -26,9 +26,9 @@
     pub(crate) context: Option<String>,
     pub(crate) traceparent: Option<String>,
     pub(crate) deadline: Option<Instant>,
-    /// Fault that the request asks for itself.
+    /// Fault that the request selects itself.
     pub(crate) fault: Option<Fault>,
-    /// Added to the answer, to make it long.
+    /// Bytes of padding added to the answer.
     pub(crate) padding_bytes: usize,
     pub(crate) body: Vec<u8>,
 }
@@ -44,7 +44,7 @@
     }
 }
 
-/// Counts down again however the call ends.
+/// Decrements the count of calls in flight when the call ends in any way.
 struct InFlight<'a>(&'a AtomicU64);
 
 impl Drop for InFlight<'_> {
@@ -55,11 +55,11 @@
 
 impl Shared {
     pub(crate) async fn answer(self: &Arc<Shared>, call: Call) -> Reply {
-        let before = self.in_flight.fetch_add(1, Ordering::Relaxed);
+        let in_flight_before = self.in_flight.fetch_add(1, Ordering::Relaxed);
         let _in_flight = InFlight(&self.in_flight);
         let fault = self.fault_of(&call);
         let shed_above = self.switches.borrow().shed_above;
-        if fault == Some(Fault::Shed) || shed_above.is_some_and(|limit| before >= limit) {
+        if fault == Some(Fault::Shed) || shed_above.is_some_and(|limit| in_flight_before >= limit) {
             self.counters.shed.fetch_add(1, Ordering::Relaxed);
             return not_run();
         }
@@ -107,9 +107,9 @@
 
     fn fault_of(&self, call: &Call) -> Option<Fault> {
         let switches = self.switches.borrow();
-        let is_meant =
+        let is_affected =
             switches.fault_markers.is_empty() || switches.fault_markers.contains(&call.marker);
-        call.fault.or(switches.fault.filter(|_| is_meant))
+        call.fault.or(switches.fault.filter(|_| is_affected))
     }
 
     fn service_time(&self) -> Duration {
