--- a/crates/hemlocktack-node/tests/decoders/link_frames.rs
+++ b/crates/hemlocktack-node/tests/decoders/link_frames.rs
@@ -1,4 +1,4 @@
-//! Bytes on a link that are nearly frames.
+//! The link codec with mutated frames.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use hemlocktack_protocol::{
@@ -14,10 +14,10 @@
 
 use crate::codec::{FrameCodec, MAX_FRAME_BYTES};
 
-/// Room for reading before anything has come.
-const FIRST_BUFFER_BYTES: usize = 8 << 10;
-/// What a buffer may hold for each byte that has come: it grows by doubling.
-const ROOM_A_BYTE: usize = 4;
+/// Initial capacity of the read buffer.
+const INITIAL_BUFFER_BYTES: usize = 8 << 10;
+/// Maximum capacity of a buffer for each byte received: it grows by doubling.
+const MAX_CAPACITY_PER_BYTE: usize = 4;
 
 fn number() -> impl Strategy<Value = u64> {
     prop_oneof![0..4_u64, any::<u64>(), select(vec![u64::MAX])]
@@ -88,7 +88,7 @@
     })
 }
 
-/// Frames of an opening and of questions.
+/// Frames of the handshake and of queries.
 fn small_body() -> impl Strategy<Value = frame::Body> {
     (0..9_u8, number(), number(), bytes(), ".{0,40}").prop_map(
         |(kind, number, other, bytes, text)| match kind {
@@ -138,35 +138,35 @@
     body.prop_map(|body| Frame { body: Some(body) })
 }
 
-/// What stands before a frame's bytes.
+/// The length prefix of a frame.
 #[derive(Clone, Copy, Debug)]
 enum Length {
-    Right,
+    Correct,
     Announced(u32),
 }
 
 fn length() -> impl Strategy<Value = Length> {
-    let most = u32::try_from(MAX_FRAME_BYTES).unwrap();
+    let max_length = u32::try_from(MAX_FRAME_BYTES).unwrap();
     prop_oneof![
-        8 => Just(Length::Right),
+        8 => Just(Length::Correct),
         1 => (0..200_u32).prop_map(Length::Announced),
-        1 => select(vec![most, most + 1, u32::MAX]).prop_map(Length::Announced),
+        1 => select(vec![max_length, max_length + 1, u32::MAX]).prop_map(Length::Announced),
         1 => any::<u32>().prop_map(Length::Announced),
     ]
 }
 
-/// One frame as it goes over the wire, seldom with a byte changed.
-fn on_the_wire() -> impl Strategy<Value = Vec<u8>> {
+/// One encoded frame, sometimes with a byte changed.
+fn encoded_frame() -> impl Strategy<Value = Vec<u8>> {
     let change = proptest::option::weighted(0.2, (any::<Index>(), any::<u8>()));
     (frame(), length(), change).prop_map(|(frame, length, change)| {
         let mut body = frame.encode_to_vec();
-        if let (Some((place, byte)), false) = (change, body.is_empty()) {
-            let place = place.index(body.len());
-            body[place] = byte;
+        if let (Some((position, byte)), false) = (change, body.is_empty()) {
+            let position = position.index(body.len());
+            body[position] = byte;
         }
         let mut wire = Vec::new();
         wire.put_u32(match length {
-            Length::Right => u32::try_from(body.len()).unwrap(),
+            Length::Correct => u32::try_from(body.len()).unwrap(),
             Length::Announced(length) => length,
         });
         wire.extend(body);
@@ -174,9 +174,9 @@
     })
 }
 
-/// The same in pieces, as the network brings them.
+/// Encoded frames, split into pieces as the network may deliver them.
 fn pieces() -> impl Strategy<Value = Vec<Vec<u8>>> {
-    (vec(on_the_wire(), 1..5), vec(1..600_usize, 1..8)).prop_map(|(frames, sizes)| {
+    (vec(encoded_frame(), 1..5), vec(1..600_usize, 1..8)).prop_map(|(frames, sizes)| {
         let mut left = frames.concat();
         let mut pieces = Vec::new();
         for size in sizes.iter().cycle() {
@@ -191,11 +191,11 @@
     })
 }
 
-/// Room that the buffer of a link takes at its largest; the link ends at its first
-/// fault.
+/// Returns the largest capacity that the read buffer of a link reaches; the link ends at its
+/// first error.
 fn largest_buffer_bytes(pieces: &[Vec<u8>]) -> usize {
     let mut codec = FrameCodec::new();
-    let mut buffer = BytesMut::with_capacity(FIRST_BUFFER_BYTES);
+    let mut buffer = BytesMut::with_capacity(INITIAL_BUFFER_BYTES);
     let mut largest = 0;
     for piece in pieces {
         buffer.extend_from_slice(piece);
@@ -212,22 +212,21 @@
     largest
 }
 
-/// A peer announces the largest frame on each of a thousand links and sends nothing
-/// of it: room for it on each is all the memory there is.
+/// A peer sends the length prefix of the largest frame on each of a thousand links and nothing
+/// more. Buffers allocated from the prefix would use up the memory.
 #[test]
-fn an_announced_length_takes_no_room_before_its_bytes_come() {
-    let most = u32::try_from(MAX_FRAME_BYTES).unwrap();
-    let largest = largest_buffer_bytes(&[most.to_be_bytes().to_vec()]);
-    assert!(largest <= 2 * FIRST_BUFFER_BYTES, "{largest} bytes");
+fn a_length_prefix_allocates_nothing_before_its_bytes_arrive() {
+    let max_length = u32::try_from(MAX_FRAME_BYTES).unwrap();
+    let largest = largest_buffer_bytes(&[max_length.to_be_bytes().to_vec()]);
+    assert!(largest <= 2 * INITIAL_BUFFER_BYTES, "{largest} bytes");
 }
 
 proptest! {
     #![proptest_config(fixed_seed_config(27))]
 
-    /// Frames that nothing was done to come out as they went in, whatever the
-    /// pieces they come in.
+    /// Unchanged frames decode to themselves, however they are split.
     #[test]
-    fn sound_frames_are_read_in_any_pieces(
+    fn valid_frames_decode_in_any_pieces(
         frames in vec(frame(), 1..4), size in 1..300_usize,
     ) {
         let mut wire = Vec::new();
@@ -247,13 +246,13 @@
         prop_assert_eq!(read, frames);
     }
 
-    /// A peer of another version, or one with a memory fault: its link ends, the
-    /// node does not.
+    /// Malformed frames of a peer of another version, or with faulty memory, end its link and
+    /// not the node.
     #[test]
-    fn nearly_right_frames_are_taken_or_end_their_link(pieces in pieces()) {
+    fn mutated_frames_are_accepted_or_end_their_link(pieces in pieces()) {
         let largest = largest_buffer_bytes(&pieces);
-        let come: usize = pieces.iter().map(Vec::len).sum();
-        let most = 2 * FIRST_BUFFER_BYTES + ROOM_A_BYTE * come;
-        prop_assert!(largest <= most, "{largest} bytes for {come}");
+        let received_bytes: usize = pieces.iter().map(Vec::len).sum();
+        let limit_bytes = 2 * INITIAL_BUFFER_BYTES + MAX_CAPACITY_PER_BYTE * received_bytes;
+        prop_assert!(largest <= limit_bytes, "{largest} bytes for {received_bytes}");
     }
 }
--- a/crates/hemlocktack-node/tests/decoders/main.rs
+++ b/crates/hemlocktack-node/tests/decoders/main.rs
@@ -1,6 +1,6 @@
-//! Readers of the node that get what nobody should send: settings and link frames.
+//! Property tests of the decoders of settings and link frames with malformed input.
 //!
-//! `PROPTEST_CASES=1000000` runs as many cases of each.
+//! `PROPTEST_CASES=1000000` runs that many cases of each test.
 
 #![allow(clippy::unwrap_used)]
 
--- a/crates/hemlocktack-node/tests/decoders/settings_texts.rs
+++ b/crates/hemlocktack-node/tests/decoders/settings_texts.rs
@@ -1,4 +1,4 @@
-//! Settings as a tool, a template or a slip of the hand leaves them.
+//! Settings with errors that a tool, a template or a typing error causes.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -12,7 +12,7 @@
 use crate::settings::{Invocation, LoadedSettings, RunSettings, read};
 
 const FLEET_KEY: &str = "a fleet key for tests, long enough";
-const SOUND: [(&str, &str); 17] = [
+const VALID: [(&str, &str); 17] = [
     ("node", "listings-1"),
     ("service", "listings"),
     ("data-centre", "salt-lake"),
@@ -31,7 +31,7 @@
     ("retry-share", "0.2"),
     ("retries-beside-share", "50"),
 ];
-const OTHERS: [&str; 4] = ["drain-limit-ms", "log-format", "interface", "colour"];
+const OTHER_NAMES: [&str; 4] = ["drain-limit-ms", "log-format", "interface", "colour"];
 
 type Texts = BTreeMap<String, String>;
 
@@ -39,16 +39,16 @@
     format!("HEMLOCKTACK_{}", flag.replace('-', "_").to_uppercase())
 }
 
-fn sound() -> Texts {
-    let pairs = SOUND.iter();
+fn valid_settings() -> Texts {
+    let pairs = VALID.iter();
     pairs
         .map(|(flag, text)| (variable(flag), (*text).to_owned()))
         .collect()
 }
 
 fn name() -> impl Strategy<Value = String> {
-    let known = SOUND.iter().map(|(flag, _)| *flag);
-    let all: Vec<&str> = known.chain(OTHERS).collect();
+    let known = VALID.iter().map(|(flag, _)| *flag);
+    let all: Vec<&str> = known.chain(OTHER_NAMES).collect();
     select(all).prop_map(variable)
 }
 
@@ -67,47 +67,47 @@
     btree_map(name(), text(), 0..4)
 }
 
-/// A settings file with some values changed, and seldom some of its bytes.
+/// A settings file with some values changed, and sometimes a few of its bytes.
 fn contents() -> impl Strategy<Value = Vec<u8>> {
     let bytes = vec((any::<Index>(), any::<u8>()), 0..3);
     let lines = vec(".{0,30}", 0..2);
-    (changes(), lines, bytes, 0..4_u8).prop_map(|(changes, lines, bytes, rare)| {
-        let mut texts = sound();
+    (changes(), lines, bytes, 0..4_u8).prop_map(|(changes, lines, bytes, mutation)| {
+        let mut texts = valid_settings();
         texts.extend(changes);
         let mut file: String = texts
             .iter()
             .map(|(name, text)| format!("{name}={text}\n"))
             .collect();
-        if rare == 0 {
+        if mutation == 0 {
             file += &lines.join("\n");
         }
         let mut file = file.into_bytes();
-        for (place, byte) in bytes.into_iter().filter(|_| rare == 1) {
-            let place = place.index(file.len());
-            file[place] = byte;
+        for (position, byte) in bytes.into_iter().filter(|_| mutation == 1) {
+            let position = position.index(file.len());
+            file[position] = byte;
         }
         file
     })
 }
 
-/// A node that was started with a sound file.
-fn started(file: &Path) -> RunSettings {
+/// Returns the settings of a node run_settings_from with a valid file.
+fn run_settings_from(file: &Path) -> RunSettings {
     let flag = format!("--settings-file={}", file.display());
     let Ok(Invocation::Run(run)) = read(&[flag], |_| None) else {
-        panic!("the sound settings are refused");
+        panic!("the valid settings are refused");
     };
     *run
 }
 
-fn sound_file() -> tempfile::NamedTempFile {
+fn valid_file() -> tempfile::NamedTempFile {
     let mut file = tempfile::NamedTempFile::new().unwrap();
-    for (name, text) in sound() {
+    for (name, text) in valid_settings() {
         writeln!(file, "{name}={text}").unwrap();
     }
     file
 }
 
-/// What is in force is of use; what is refused is told in single lines.
+/// Checks that accepted settings are within their limits, and that each finding is one line.
 fn check(outcome: std::result::Result<&LoadedSettings, &[String]>) -> Result<(), TestCaseError> {
     let loaded = match outcome {
         Ok(loaded) => loaded,
@@ -134,8 +134,8 @@
 }
 
 #[test]
-fn the_settings_that_cases_are_made_from_are_sound() {
-    let texts = sound();
+fn the_settings_that_cases_start_from_are_valid() {
+    let texts = valid_settings();
     let read = read(&[], move |name| texts.get(name).cloned());
     assert!(matches!(read, Ok(Invocation::Run(_))));
 }
@@ -143,13 +143,13 @@
 proptest! {
     #![proptest_config(fixed_seed_config(27))]
 
-    /// A variable or a flag that cannot be used ends the start with what is wrong,
-    /// and not a running node an hour later.
+    /// An invalid variable or flag fails the start with findings, rather than a running node
+    /// an hour later.
     #[test]
-    fn flags_and_variables_are_taken_or_refused(
+    fn flags_and_variables_are_applied_or_refused(
         by_variable in changes(), by_flag in changes(),
     ) {
-        let mut texts = sound();
+        let mut texts = valid_settings();
         texts.extend(by_variable);
         let flags: Vec<String> = by_flag
             .iter()
@@ -165,12 +165,12 @@
         }
     }
 
-    /// A running node looks at its file again: it takes it, or tells what is wrong
-    /// and keeps what it has.
+    /// A running node that reads its file again either applies it, or reports the findings and
+    /// keeps its present settings.
     #[test]
-    fn files_of_settings_are_taken_or_refused(files in vec(contents(), 1..4)) {
-        let file = sound_file();
-        let RunSettings { mut loaded, sources } = started(file.path());
+    fn settings_files_are_applied_or_refused(files in vec(contents(), 1..4)) {
+        let file = valid_file();
+        let RunSettings { mut loaded, sources } = run_settings_from(file.path());
         for contents in files {
             match sources.read(Some(Ok(contents))) {
                 Ok(read) => {
--- a/crates/hemlocktack-node/tests/panics.rs
+++ b/crates/hemlocktack-node/tests/panics.rs
@@ -1,11 +1,11 @@
-//! What a panic in the work on a request leaves of its answer.
+//! Answers to requests whose handler panics.
 
 #[path = "../src/calls/panics.rs"]
 mod panics;
 
 use hemlocktack_protocol::{Answer, Outcome, Reason};
 
-/// Stands for the node's own function of this name.
+/// Replaces the function of this name in `calls`, which `panics.rs` uses.
 fn unknown_answer(reason: Reason) -> Answer {
     Answer {
         outcome: Outcome::Unknown.into(),
@@ -14,10 +14,10 @@
     }
 }
 
-/// Failure: the work on a request panics, and nobody answers its caller.
+/// Guards against a caller that never gets an answer because the handler of its request panicked.
 #[tokio::test]
-async fn work_that_panics_comes_to_an_unknown_end() {
-    let panicking = async { panic!("a fault of the node itself") };
+async fn a_panic_is_answered_as_unknown() {
+    let panicking = async { panic!("a bug in the node itself") };
     let answer = panics::catch_panic("p-1", panicking).await;
     assert_eq!(answer.outcome(), Outcome::Unknown);
     let answered = Answer {
--- a/crates/hemlocktack-node/tests/processes/at_most_once.rs
+++ b/crates/hemlocktack-node/tests/processes/at_most_once.rs
@@ -1,17 +1,22 @@
 //! Bookings while processes are killed or frozen.
 
-use crate::harness::{Booking, Caller, Fleet, Plan, Reply, assert_honest, wait_until};
+use crate::harness::{Booking, Caller, Fleet, Plan, Reply, assert_outcomes_are_true, wait_until};
 
 const PATH: &str = "diaries/appointments";
-/// Long enough to do something to a process while a booking runs.
+/// Long enough to kill or freeze a process while a booking runs.
 const LONG_SERVICE_MS: u64 = 3_000;
 
 fn plans() -> [Plan; 2] {
     [Plan::new("listings", 2), Plan::new("diaries", 2)]
 }
 
-/// Tickets for so many bookings, through the entry.
-async fn tickets(fleet: &Fleet, entry: usize, name: &str, count: usize) -> Vec<Booking> {
+/// Gets tickets for `count` bookings through the entry.
+async fn bookings_with_tickets(
+    fleet: &Fleet,
+    entry: usize,
+    name: &str,
+    count: usize,
+) -> Vec<Booking> {
     let mut bookings = Vec::new();
     for number in 0..count {
         let marker = format!("{name} {number}");
@@ -24,15 +29,15 @@
     bookings
 }
 
-/// Sends all of them at once; the replies are added when all have come.
+/// Sends all bookings concurrently and adds their replies.
 async fn send_all(caller: &Caller, bookings: &mut [Booking]) {
-    let replies = start_all(caller, bookings);
-    take_all(replies, bookings).await;
+    let replies = spawn_sends(caller, bookings);
+    collect_replies(replies, bookings).await;
 }
 
-type Pending = Vec<tokio::task::JoinHandle<Reply>>;
+type PendingReplies = Vec<tokio::task::JoinHandle<Reply>>;
 
-fn start_all(caller: &Caller, bookings: &[Booking]) -> Pending {
+fn spawn_sends(caller: &Caller, bookings: &[Booking]) -> PendingReplies {
     let mut pending = Vec::new();
     for booking in bookings {
         let caller = caller.clone();
@@ -46,78 +51,77 @@
     pending
 }
 
-async fn take_all(pending: Pending, bookings: &mut [Booking]) {
+async fn collect_replies(pending: PendingReplies, bookings: &mut [Booking]) {
     for (pending, booking) in pending.into_iter().zip(bookings) {
         booking.replies.push(pending.await.unwrap());
     }
 }
 
-/// Families' bookings are running when the node beside one diary dies. Those
-/// that it ran are `unknown`: their upstream may have done them. Each caller
-/// sends its booking again through another node; the dead node's start is gone
-/// for good, so nobody may run them again, and those of the living node are
-/// answered as before.
+/// A node is killed while bookings run. Those that it ran are `unknown`, as their upstream may
+/// have completed them. Each caller sends its booking again through another node: the record of
+/// the killed node's starts is lost, so none of them may run again, and the bookings of the other
+/// node are answered as before.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_dies_with_bookings_in_flight() {
+async fn a_node_is_killed_with_bookings_in_flight() {
     let mut fleet = Fleet::start(&plans()).await;
-    let mut bookings = tickets(&fleet, 0, "viewing", 8).await;
+    let mut bookings = bookings_with_tickets(&fleet, 0, "viewing", 8).await;
     fleet.set_service_time_ms("diaries", LONG_SERVICE_MS).await;
-    let pending = start_all(&fleet.caller(0), &bookings);
+    let pending = spawn_sends(&fleet.caller(0), &bookings);
     for booking in &bookings {
         fleet.wait_for_start("diaries", &booking.marker).await;
     }
-    let victim = fleet.wait_for_start("diaries", &bookings[0].marker).await;
-    fleet.nodes[victim].process.kill();
-    take_all(pending, &mut bookings).await;
+    let killed = fleet.wait_for_start("diaries", &bookings[0].marker).await;
+    fleet.nodes[killed].process.kill();
+    collect_replies(pending, &mut bookings).await;
     assert_eq!(bookings[0].last().outcome, "unknown", "{bookings:#?}");
     send_all(&fleet.caller(1), &mut bookings).await;
     assert_ne!(bookings[0].last().outcome, "not-run", "{bookings:#?}");
-    assert_honest(&fleet, "diaries", &bookings).await;
+    assert_outcomes_are_true(&fleet, "diaries", &bookings).await;
     let later = fleet.caller(1);
-    wait_until("bookings are taken again", || async {
+    wait_until("bookings are answered again", || async {
         let ticket = later.ticket(PATH, "later").await;
         later.post_with(PATH, "later", &ticket).await.is_answered()
     })
     .await;
-    assert_honest(&fleet, "diaries", &bookings).await;
+    assert_outcomes_are_true(&fleet, "diaries", &bookings).await;
 }
 
-/// The entry node dies while the booking that it passed on runs elsewhere. The
-/// caller's connection breaks; it sends the booking again through another node,
-/// joins the run that is under way, and gets its answer.
+/// The entry node is killed while a booking that it forwarded runs on another node. The caller
+/// loses its connection, sends the booking again through another node, joins the run in progress
+/// and gets its answer.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_dies_and_the_booking_is_joined_through_another() {
+async fn an_entry_is_killed_and_the_booking_is_joined_through_another() {
     let mut fleet = Fleet::start(&plans()).await;
-    let mut bookings = tickets(&fleet, 0, "viewing", 4).await;
+    let mut bookings = bookings_with_tickets(&fleet, 0, "viewing", 4).await;
     fleet.set_service_time_ms("diaries", LONG_SERVICE_MS).await;
-    let pending = start_all(&fleet.caller(0), &bookings);
+    let pending = spawn_sends(&fleet.caller(0), &bookings);
     for booking in &bookings {
         fleet.wait_for_start("diaries", &booking.marker).await;
     }
     fleet.nodes[0].process.kill();
-    take_all(pending, &mut bookings).await;
+    collect_replies(pending, &mut bookings).await;
     send_all(&fleet.caller(1), &mut bookings).await;
     for booking in &bookings {
         assert_eq!(booking.replies[0].outcome, "cut", "{booking:#?}");
         assert!(booking.last().is_answered(), "{booking:#?}");
     }
-    assert_honest(&fleet, "diaries", &bookings).await;
+    assert_outcomes_are_true(&fleet, "diaries", &bookings).await;
 }
 
-/// The upstream dies while it runs bookings; its node lives. They may have run:
-/// `unknown`, at once and whenever they are sent again, and never a second run
-/// when the upstream is back.
+/// The upstream is killed while it runs bookings; its node keeps running. The bookings may have
+/// been completed, so they are `unknown` immediately and on every re-send, and they do not run
+/// again when the upstream is back.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_upstream_dies_with_bookings_in_flight() {
+async fn an_upstream_is_killed_with_bookings_in_flight() {
     let mut fleet = Fleet::start(&[Plan::new("listings", 1), Plan::new("diaries", 1)]).await;
-    let mut bookings = tickets(&fleet, 0, "viewing", 4).await;
+    let mut bookings = bookings_with_tickets(&fleet, 0, "viewing", 4).await;
     fleet.set_service_time_ms("diaries", LONG_SERVICE_MS).await;
-    let pending = start_all(&fleet.caller(0), &bookings);
+    let pending = spawn_sends(&fleet.caller(0), &bookings);
     for booking in &bookings {
         fleet.wait_for_start("diaries", &booking.marker).await;
     }
     fleet.nodes[1].upstream.restart();
-    take_all(pending, &mut bookings).await;
+    collect_replies(pending, &mut bookings).await;
     let caller = fleet.caller(0);
     wait_until("the upstream is back", || async {
         caller.get("diaries/slots", "back").await.is_answered()
@@ -131,31 +135,30 @@
             .map(|reply| reply.outcome.as_str())
             .collect();
         assert_eq!(outcomes, ["unknown", "unknown"], "{booking:#?}");
-        // The new process counts from nothing: the booking is not run again.
+        // The new process counts from zero: the booking has not run again.
         assert_eq!(fleet.starts("diaries", &booking.marker).await, 0);
     }
 }
 
-/// A diary's node is frozen while it is home of bookings: some running, some
-/// not sent yet. Their callers give up, and send again through another node.
-/// Everyone has taken the node for dead when it wakes, still believing that
-/// these bookings are its own, with the sends of minutes ago in its sockets.
-/// It may run what it is home of once; nobody else may.
+/// A node is frozen while it is the home of bookings, some running and some not sent yet. Their
+/// callers time out and send again through another node. When the node resumes, the others have
+/// declared it dead, but it still holds these bookings, and old sends wait in its sockets. It may
+/// run each booking that it is the home of once; no other node may.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_is_frozen_past_every_timeout_and_wakes() {
+async fn a_node_resumes_after_every_timeout_has_passed() {
     let fleet = Fleet::start(&plans()).await;
-    let mut running = tickets(&fleet, 0, "running", 6).await;
-    let mut waiting = tickets(&fleet, 0, "waiting", 6).await;
+    let mut running = bookings_with_tickets(&fleet, 0, "running", 6).await;
+    let mut waiting = bookings_with_tickets(&fleet, 0, "waiting", 6).await;
     fleet.set_service_time_ms("diaries", LONG_SERVICE_MS).await;
-    let pending = start_all(&fleet.caller(0), &running);
+    let pending = spawn_sends(&fleet.caller(0), &running);
     for booking in &running {
         fleet.wait_for_start("diaries", &booking.marker).await;
     }
     let frozen = fleet.wait_for_start("diaries", &running[0].marker).await;
     fleet.nodes[frozen].process.signal("STOP");
-    let sent_while_frozen = start_all(&fleet.caller(0), &waiting);
-    take_all(pending, &mut running).await;
-    take_all(sent_while_frozen, &mut waiting).await;
+    let sent_while_frozen = spawn_sends(&fleet.caller(0), &waiting);
+    collect_replies(pending, &mut running).await;
+    collect_replies(sent_while_frozen, &mut waiting).await;
     fleet.set_service_time_ms("diaries", 5).await;
     let other = fleet.caller(1);
     wait_until("browsing goes on without the frozen node", || async {
@@ -167,29 +170,28 @@
     })
     .await;
     send_all(&other, &mut running).await;
-    assert_honest(&fleet, "diaries", &running).await;
-    assert_honest(&fleet, "diaries", &waiting).await;
+    assert_outcomes_are_true(&fleet, "diaries", &running).await;
+    assert_outcomes_are_true(&fleet, "diaries", &waiting).await;
     fleet.nodes[frozen].process.signal("CONT");
-    let woken = fleet.caller(frozen);
-    wait_until("the woken node serves", || async {
-        woken.get("diaries/slots", "woken").await.is_answered()
+    let resumed = fleet.caller(frozen);
+    wait_until("the resumed node serves", || async {
+        resumed.get("diaries/slots", "woken").await.is_answered()
     })
     .await;
     send_all(&other, &mut running).await;
     send_all(&other, &mut waiting).await;
     send_all(&fleet.caller(frozen), &mut waiting).await;
-    assert_honest(&fleet, "diaries", &running).await;
-    assert_honest(&fleet, "diaries", &waiting).await;
+    assert_outcomes_are_true(&fleet, "diaries", &running).await;
+    assert_outcomes_are_true(&fleet, "diaries", &waiting).await;
 }
 
-/// An entry has just started and is ready. A family sends its booking again
-/// through it, as after a lost answer, before the new node can have heard of
-/// everyone. The booking's home lives, so the answer is the kept one and not
-/// `home-gone`, after which the family would take its viewing for lost.
+/// A caller sends its booking again, as after a lost answer, through an entry that has just become
+/// ready and may not know all members yet. The booking's home is alive, so the reply must be the
+/// kept answer. Guards against `home-gone`, after which the caller would take its booking for lost.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_fresh_entry_asks_the_home_before_it_calls_it_gone() {
+async fn a_new_entry_queries_the_home_before_reporting_it_gone() {
     let mut fleet = Fleet::start(&plans()).await;
-    let mut bookings = tickets(&fleet, 0, "viewing", 8).await;
+    let mut bookings = bookings_with_tickets(&fleet, 0, "viewing", 8).await;
     send_all(&fleet.caller(0), &mut bookings).await;
     for number in 3..=6 {
         let fresh = fleet.add(&plans()[0], number);
@@ -198,9 +200,9 @@
         is_ready.await;
         send_all(&fleet.caller(fresh), &mut bookings).await;
     }
-    assert_honest(&fleet, "diaries", &bookings).await;
+    assert_outcomes_are_true(&fleet, "diaries", &bookings).await;
     for booking in &bookings {
-        let verdicts: Vec<String> = booking.replies.iter().map(Reply::verdict).collect();
+        let verdicts: Vec<String> = booking.replies.iter().map(Reply::summary).collect();
         let is_answered = booking.replies.iter().all(Reply::is_answered);
         assert!(is_answered, "{}: {verdicts:#?}", booking.marker);
     }
--- a/crates/hemlocktack-node/tests/processes/bad_input.rs
+++ b/crates/hemlocktack-node/tests/processes/bad_input.rs
@@ -1,4 +1,4 @@
-//! What callers and operators get for input that is at fault.
+//! Replies to invalid requests of callers and operators.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -9,8 +9,7 @@
 
 use crate::harness::{Fleet, OPERATOR_TOKEN, Plan};
 
-/// Each faulty request is refused as `not-run` with a reason of its own, and
-/// no upstream has started anything.
+/// Each invalid request is refused with its own reason and no upstream starts it.
 #[tokio::test(flavor = "multi_thread")]
 async fn faulty_requests_are_refused_and_not_run() {
     let fleet = Fleet::start(&[Plan::new("listings", 1), Plan::new("diaries", 1)]).await;
@@ -84,15 +83,15 @@
     for (name, method, path, mut headers, body) in cases {
         headers.push(("x-marker", "faulty"));
         let reply = caller.send(method, path, &headers, body).await;
-        writeln!(table, "{name}: {}", reply.verdict()).unwrap();
+        writeln!(table, "{name}: {}", reply.summary()).unwrap();
     }
     insta::assert_snapshot!(table);
     assert_eq!(fleet.starts("listings", "faulty").await, 0);
     assert_eq!(fleet.starts("diaries", "faulty").await, 0);
 }
 
-/// Failure: a request is refused before its whole body has come, its connection is reset
-/// under a caller that still sends, and the refusal is lost with it.
+/// A request is refused before its whole body has arrived. Guards against a connection reset while
+/// the caller still sends, which would lose the refusal.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_refusal_reaches_a_caller_that_still_sends_its_body() {
     let fleet = Fleet::start(&[Plan::new("listings", 1)]).await;
@@ -112,7 +111,7 @@
     }
 }
 
-/// Faulty operators' calls: refused with the schema's error, nothing done.
+/// Invalid operator calls are refused with the schema's error and have no effect.
 #[tokio::test(flavor = "multi_thread")]
 async fn faulty_operators_calls_are_refused() {
     let fleet = Fleet::start(&[Plan::new("diaries", 1)]).await;
@@ -157,14 +156,14 @@
         ),
     ];
     let mut table = String::new();
-    for (name, method, token, form, body) in cases {
+    for (name, method, token, content_type, body) in cases {
         let url = format!(
             "http://{}/hemlocktack.v1.Operators/{method}",
             fleet.nodes[0].control
         );
         let mut request = reqwest::Client::new()
             .post(url)
-            .header("content-type", form)
+            .header("content-type", content_type)
             .body(body);
         if !token.is_empty() {
             request = request.bearer_auth(token);
--- a/crates/hemlocktack-node/tests/processes/crash.rs
+++ b/crates/hemlocktack-node/tests/processes/crash.rs
@@ -4,19 +4,18 @@
 
 use crate::harness::{Fleet, Plan, wait_until};
 
-const POISON: &str = "diaries/slots?fault=crash";
-/// More often than any limit on retries or crashes.
+const CRASHING_PATH: &str = "diaries/slots?fault=crash";
+/// More than any limit on retries or crashes.
 const SENDS: usize = 30;
 const UPSTREAMS: usize = 3;
-/// Each node quarantines what has crashed its upstream twice, also if the news
-/// of the other nodes' crashes never came.
-const CRASHES_A_NODE: usize = 2;
+/// Each node quarantines a request that has crashed its upstream twice, even if it never learns of
+/// the crashes at other nodes.
+const MAX_CRASHES_PER_NODE: usize = 2;
 
-/// One family's request crashes the diary's upstream. The caller sends it again
-/// and again, and each upstream is started anew each time. After a few crashes
-/// the request is refused as `not-run` everywhere, and the others are answered.
-/// A send that crashed an upstream is never called `not-run`, also when the
-/// send's own retry met the quarantine that this very crash brought about.
+/// A request crashes every upstream that runs it. Its caller sends it repeatedly, and crashed
+/// upstreams are restarted. After a few crashes all nodes refuse it as `not-run`, and other
+/// requests are answered. A send that crashed an upstream is never reported as `not-run`, even if
+/// its own retry met the quarantine that this crash caused.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_crashes_upstreams_is_stopped() {
     let diaries = Plan::new("diaries", UPSTREAMS);
@@ -24,31 +23,31 @@
     let caller = fleet.caller(0);
     let mut sends = Vec::new();
     for _ in 0..SENDS {
-        let verdict = caller.get(POISON, "poison").await.verdict();
+        let summary = caller.get(CRASHING_PATH, "poison").await.summary();
         let crashes = restart_crashed(&mut fleet).await;
-        sends.push((verdict, crashes));
+        sends.push((summary, crashes));
     }
-    for (verdict, crashes) in &sends {
-        assert!(*crashes == 0 || !verdict.contains("not-run"), "{sends:#?}");
+    for (summary, crashes) in &sends {
+        assert!(*crashes == 0 || !summary.contains("not-run"), "{sends:#?}");
     }
     let crashes: usize = sends.iter().map(|(_, crashes)| crashes).sum();
-    let is_refused = |verdict: &String| verdict.contains("not-run quarantined");
-    let refused = sends.iter().filter(|(verdict, _)| is_refused(verdict));
+    let is_refused = |summary: &String| summary.contains("not-run quarantined");
+    let refused = sends.iter().filter(|(summary, _)| is_refused(summary));
     assert!(refused.count() > SENDS / 2, "{sends:#?}");
     assert!(
-        crashes <= UPSTREAMS * CRASHES_A_NODE,
+        crashes <= UPSTREAMS * MAX_CRASHES_PER_NODE,
         "{crashes} crashes: {sends:#?}"
     );
-    wait_until("the others are answered", || async {
+    wait_until("other requests are answered", || async {
         caller.get("diaries/slots", "innocent").await.is_answered()
     })
     .await;
-    let still = caller.get(POISON, "poison").await;
+    let still = caller.get(CRASHING_PATH, "poison").await;
     assert_eq!(still.outcome, "not-run", "{still:?}");
 }
 
-/// A booking crashes its upstream and its caller sends it again: it may have
-/// run, so it crashes one upstream and no more.
+/// A booking crashes its upstream and its caller sends it again. It may have run, so it must not
+/// run again and crashes one upstream only.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_booking_that_crashes_its_upstream_crashes_one() {
     let mut fleet = Fleet::start(&[Plan::new("listings", 1), Plan::new("diaries", 2)]).await;
@@ -64,9 +63,9 @@
     assert_eq!(crashes, 1);
 }
 
-/// Starts ended upstreams anew and waits until they are announced; how many they were.
+/// Restarts crashed upstreams and waits until they are announced; returns their number.
 async fn restart_crashed(fleet: &mut Fleet) -> usize {
-    // The process ends a moment after its connections.
+    // The process ends shortly after its connections are closed.
     tokio::time::sleep(Duration::from_millis(100)).await;
     let mut crashed = 0;
     for node in &mut fleet.nodes {
--- a/crates/hemlocktack-node/tests/processes/frames.rs
+++ b/crates/hemlocktack-node/tests/processes/frames.rs
@@ -1,4 +1,4 @@
-//! Bytes at a node's link address that are not what another node sends.
+//! Unusual, malformed and unauthenticated frames at a node's link address.
 
 use bytes::{Bytes, BytesMut};
 use futures::{SinkExt, StreamExt};
@@ -14,14 +14,14 @@
 use tokio::net::TcpStream;
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-use crate::harness::{FLEET_KEY, Fleet, Node, PATIENCE, Plan};
+use crate::harness::{FLEET_KEY, Fleet, Node, Plan, WAIT_TIMEOUT};
 
 pub(crate) type Link = Framed<TcpStream, LengthDelimitedCodec>;
 
-/// A field number that no schema has yet.
-const FIELD_OF_THE_FUTURE: u32 = 4_000;
+/// A field number that is not in the schema.
+const UNKNOWN_FIELD_NUMBER: u32 = 4_000;
 const OWN_INCARNATION: u64 = 7;
-/// As in the node; the codec's own default is smaller.
+/// The node's frame limit; the codec's default is smaller.
 const FRAME_LIMIT_BYTES: usize = 32 << 20;
 
 async fn connect(node: &Node) -> Link {
@@ -37,7 +37,7 @@
     link.send(Bytes::from(frame.encode_to_vec())).await.unwrap();
 }
 
-/// The next frame; `None` where the node has closed the link.
+/// Returns the next frame; `None` if the node has closed the link.
 pub(crate) async fn receive(link: &mut Link) -> Option<frame::Body> {
     let bytes: BytesMut = link.next().await?.ok()?;
     Frame::decode(bytes.freeze()).unwrap().body
@@ -45,12 +45,12 @@
 
 /// Opens a link as a node with that fleet key does.
 pub(crate) async fn open(node: &Node, fleet_key: &str) -> Link {
-    let (mut link, proof) = open_up_to_proof(node, fleet_key).await;
+    let (mut link, proof) = handshake_before_proof(node, fleet_key).await;
     send(&mut link, frame::Body::Proof(proof)).await;
     link
 }
 
-async fn open_up_to_proof(node: &Node, fleet_key: &str) -> (Link, Proof) {
+async fn handshake_before_proof(node: &Node, fleet_key: &str) -> (Link, Proof) {
     let keys = FleetKeys::new(fleet_key.as_bytes(), None).unwrap();
     let mut link = connect(node).await;
     let hello = Hello {
@@ -74,7 +74,7 @@
     (link, Proof { mac })
 }
 
-/// Whether the node answers a question on this link.
+/// Whether the node answers a query on this link.
 async fn is_answered(link: &mut Link) -> bool {
     send(link, frame::Body::StatusPull(StatusPull { query_id: 9 })).await;
     loop {
@@ -93,75 +93,74 @@
     assert!(is_answered(&mut link).await);
 }
 
-/// A node of a newer version sends a kind of frame that this one does not know:
-/// it is dropped, and the link goes on.
+/// A node of a newer version sends a kind of frame that this one does not know: the frame is
+/// ignored and the link stays open.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frame_of_a_newer_schema_is_passed_over() {
+async fn a_frame_of_a_newer_schema_is_ignored() {
     let fleet = Fleet::start(&[Plan::new("diaries", 1)]).await;
     let mut link = open(&fleet.nodes[0], FLEET_KEY).await;
     let mut newer = BytesMut::new();
-    prost::encoding::string::encode(FIELD_OF_THE_FUTURE, &"unheard of".to_owned(), &mut newer);
+    prost::encoding::string::encode(UNKNOWN_FIELD_NUMBER, &"unheard of".to_owned(), &mut newer);
     link.send(newer.freeze()).await.unwrap();
     assert!(is_answered(&mut link).await);
 }
 
-/// A node dials another and sends a question at once: both frames come in one
-/// segment. Nothing else comes on this link, so the question must be answered
-/// from what is there already. (It waited for the next frame, and the first
-/// call over each such link ended `unknown` after its whole patience.)
+/// A node sends a query together with the last handshake frame, in one segment, and then nothing
+/// more. Guards against a query that stays in the read buffer until another frame arrives: the
+/// first call over such a link ended as `unknown` after its whole timeout.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frame_right_behind_the_opening_is_treated() {
+async fn a_frame_in_one_segment_with_the_handshake_is_handled() {
     let fleet = Fleet::start(&[Plan::new("diaries", 1)]).await;
-    let (mut link, proof) = open_up_to_proof(&fleet.nodes[0], FLEET_KEY).await;
+    let (mut link, proof) = handshake_before_proof(&fleet.nodes[0], FLEET_KEY).await;
     let pull = StatusPull { query_id: 9 };
     for body in [frame::Body::Proof(proof), frame::Body::StatusPull(pull)] {
         let frame = Frame { body: Some(body) };
         link.feed(Bytes::from(frame.encode_to_vec())).await.unwrap();
     }
     SinkExt::<Bytes>::flush(&mut link).await.unwrap();
-    let answer = tokio::time::timeout(PATIENCE, receive(&mut link)).await;
+    let answer = tokio::time::timeout(WAIT_TIMEOUT, receive(&mut link)).await;
     assert!(
         matches!(answer, Ok(Some(frame::Body::Status(_)))),
         "{answer:?}"
     );
 }
 
-/// Truncated, oversized and senseless frames, before and after the link has
-/// proved itself: the link is closed, and the node goes on.
+/// Truncated, oversized and undecodable frames, before and after authentication, close their link;
+/// the node keeps running.
 #[tokio::test(flavor = "multi_thread")]
-async fn broken_frames_end_their_link_only() {
+async fn malformed_frames_end_only_their_link() {
     let fleet = Fleet::start(&[Plan::new("diaries", 1)]).await;
     let truncated: &[u8] = &[0, 0, 0, 100, 1, 2, 3];
     let oversized: &[u8] = &[0x7f, 0xff, 0xff, 0xff, 1, 2, 3];
-    let senseless: &[u8] = &[0, 0, 0, 4, 0xff, 0xff, 0xff, 0xff];
-    for bytes in [truncated, oversized, senseless] {
-        let strangers = TcpStream::connect(fleet.nodes[0].link).await.unwrap();
-        let proved = open(&fleet.nodes[0], FLEET_KEY).await.into_inner();
-        for mut stream in [strangers, proved] {
+    let undecodable: &[u8] = &[0, 0, 0, 4, 0xff, 0xff, 0xff, 0xff];
+    for bytes in [truncated, oversized, undecodable] {
+        let unauthenticated = TcpStream::connect(fleet.nodes[0].link).await.unwrap();
+        let authenticated = open(&fleet.nodes[0], FLEET_KEY).await.into_inner();
+        for mut stream in [unauthenticated, authenticated] {
             stream.write_all(bytes).await.unwrap();
             stream.shutdown().await.unwrap();
             let mut rest = Vec::new();
-            // The end, or a reset: the node has closed the link.
+            // End of stream or a reset: either way the node has closed the link.
             let _ = stream.read_to_end(&mut rest).await;
         }
         assert_serves(&fleet).await;
     }
 }
 
-/// A process without the fleet key, or that skips the opening, is not served.
+/// A process without the fleet key, or one that skips the handshake, gets no answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_link_without_the_fleet_key_is_refused() {
     let fleet = Fleet::start(&[Plan::new("diaries", 1)]).await;
     let other_key = "another fleet's key, which is long enough";
-    let mut stranger = open(&fleet.nodes[0], other_key).await;
-    assert!(!is_answered(&mut stranger).await);
-    let mut impatient = connect(&fleet.nodes[0]).await;
-    assert!(!is_answered(&mut impatient).await);
+    let mut with_other_key = open(&fleet.nodes[0], other_key).await;
+    assert!(!is_answered(&mut with_other_key).await);
+    let mut without_handshake = connect(&fleet.nodes[0]).await;
+    assert!(!is_answered(&mut without_handshake).await);
     assert_serves(&fleet).await;
 }
 
-/// Guards against answers that go over a link of which their call knows nothing: a
-/// node holds two links to one process, and only the caller's own link waits.
+/// Guards against answers sent over the wrong one of two links to the same process: only the link
+/// that the call came over waits for it.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_goes_over_the_link_that_its_call_came_over() {
     let fleet = Fleet::start(&[Plan::new("diaries", 1)]).await;
@@ -175,10 +174,10 @@
     assert_eq!(answered_call(&mut second).await, Some(2));
 }
 
-/// Guards against answers that are dropped with the link opened last, while the
-/// link that waits for them is well.
+/// Guards against answers that are dropped when the link opened last is closed, while the link that
+/// waits for them is open.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_outlives_a_later_link_of_its_sender() {
+async fn an_answer_is_sent_after_a_later_link_has_closed() {
     let fleet = Fleet::start(&[Plan::new("diaries", 1)]).await;
     let mut first = open(&fleet.nodes[0], FLEET_KEY).await;
     assert!(is_answered(&mut first).await);
@@ -190,10 +189,10 @@
     assert_eq!(answered_call(&mut first).await, Some(1));
 }
 
-/// Guards against a question that was held up on a lost link: it comes after the one
-/// over the next link, and the answer goes over the lost link, where nobody waits.
+/// A query that was delayed on a lost link arrives after the query over the next link. Guards
+/// against an answer sent over the lost link, where nothing waits for it.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_late_question_over_a_lost_link_does_not_take_the_answer_there() {
+async fn a_late_query_over_a_lost_link_does_not_redirect_the_answer() {
     let fleet = Fleet::start(&[Plan::new("diaries", 1)]).await;
     let mut first = open(&fleet.nodes[0], FLEET_KEY).await;
     assert!(is_answered(&mut first).await);
@@ -211,10 +210,10 @@
     assert_eq!(answered_call(&mut next).await, Some(1));
 }
 
-/// What the node says of the first call, asked over this link.
+/// Returns the node's answer to a query for the progress of call 1 over this link.
 async fn progress(link: &mut Link) -> Option<CallProgress> {
     send(link, frame::Body::Resolve(ResolveCall { call_id: 1 })).await;
-    let next = tokio::time::timeout(PATIENCE, receive(link)).await;
+    let next = tokio::time::timeout(WAIT_TIMEOUT, receive(link)).await;
     match next {
         Ok(Some(frame::Body::Resolution(resolution))) => Some(resolution.progress()),
         _ => None,
@@ -233,20 +232,19 @@
     }
 }
 
-/// The call that the next answer on this link is for.
+/// Returns the id of the call that the next answer on this link belongs to.
 async fn answered_call(link: &mut Link) -> Option<u64> {
-    let next = tokio::time::timeout(PATIENCE, receive(link)).await;
+    let next = tokio::time::timeout(WAIT_TIMEOUT, receive(link)).await;
     match next {
         Ok(Some(frame::Body::Answer(answer))) => Some(answer.call_id),
         _ => None,
     }
 }
 
-/// A home gets a ticket that it cannot verify: signed with a key that it does
-/// not hold, while keys are changed. The booking may have run under that key,
-/// so the home must not say that it was not run.
+/// During a key change, a home gets a ticket signed with a key that it does not hold. The booking
+/// may have run under that key, so the home must not answer that it was not run.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_home_does_not_vouch_for_a_ticket_it_cannot_verify() {
+async fn a_home_answers_unknown_to_a_ticket_it_cannot_verify() {
     let fleet = Fleet::start(&[Plan::new("diaries", 1)]).await;
     let other_keys = FleetKeys::new(b"another fleet's key, long enough", None).unwrap();
     let home = NodeIncarnation::new("diaries-1", 1);
@@ -264,7 +262,7 @@
     };
     let mut link = open(&fleet.nodes[0], FLEET_KEY).await;
     send(&mut link, frame::Body::Call(call)).await;
-    let answer = tokio::time::timeout(PATIENCE, receive(&mut link))
+    let answer = tokio::time::timeout(WAIT_TIMEOUT, receive(&mut link))
         .await
         .unwrap();
     let Some(frame::Body::Answer(answer)) = answer else {
--- a/crates/hemlocktack-node/tests/processes/harness/audit.rs
+++ b/crates/hemlocktack-node/tests/processes/harness/audit.rs
@@ -1,8 +1,8 @@
-//! What must hold for a request that may not be repeated, whatever happened.
+//! Checks that the reported outcomes of non-idempotent requests are true.
 
 use super::{Fleet, Reply};
 
-/// All that a caller was told of one booking, in order.
+/// All replies to the sends of one booking or page request, in order.
 #[derive(Clone, Debug)]
 pub(crate) struct Booking {
     pub(crate) marker: String,
@@ -16,9 +16,9 @@
     }
 }
 
-/// One ticket: at most one start, answered means one whole own answer and one
-/// start, and `not-run` means no start.
-pub(crate) async fn assert_honest(fleet: &Fleet, service: &str, bookings: &[Booking]) {
+/// Asserts for each ticket that it was started at most once, that `answered` means one start and
+/// always the same answer of its own, and that `not-run` means no start.
+pub(crate) async fn assert_outcomes_are_true(fleet: &Fleet, service: &str, bookings: &[Booking]) {
     for booking in bookings {
         let starts = fleet.starts(service, &booking.marker).await;
         assert!(starts <= 1, "{starts} starts of {booking:#?}");
@@ -27,10 +27,10 @@
             .iter()
             .filter(|reply| reply.outcome == "answered");
         if let Some(first) = answers.next() {
-            assert_eq!(starts, 1, "answered, not run: {booking:#?}");
+            assert_eq!(starts, 1, "answered, but not run: {booking:#?}");
             assert_eq!(
                 first.body["marker"], booking.marker,
-                "another's answer: {booking:#?}"
+                "answer to another request: {booking:#?}"
             );
             assert!(
                 answers.all(|answer| answer.body == first.body),
@@ -41,7 +41,10 @@
             .replies
             .iter()
             .any(|reply| reply.outcome == "not-run");
-        assert!(!is_denied || starts == 0, "ran after not-run: {booking:#?}");
+        assert!(
+            !is_denied || starts == 0,
+            "not-run, but started: {booking:#?}"
+        );
         for reply in &booking.replies {
             let is_known = ["answered", "not-run", "unknown"].contains(&reply.outcome.as_str());
             let is_lost = ["cut", "not-sent"].contains(&reply.outcome.as_str());
--- a/crates/hemlocktack-node/tests/processes/harness/caller.rs
+++ b/crates/hemlocktack-node/tests/processes/harness/caller.rs
@@ -1,15 +1,15 @@
-//! A caller as the services' users have them: HTTP, tickets, re-sends.
+//! An HTTP caller with tickets and re-sends.
 
 use std::net::SocketAddr;
 
 use reqwest::{Method, Response};
 use serde_json::Value;
 
-/// What a caller got back.
+/// The reply to one send.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Reply {
     pub(crate) status: u16,
-    /// `answered`, `not-run`, `unknown`; `not-sent` and `cut` where no whole answer came.
+    /// `answered`, `not-run` or `unknown`; `not-sent` or `cut` if no complete answer arrived.
     pub(crate) outcome: String,
     pub(crate) reason: String,
     pub(crate) ticket: Option<String>,
@@ -23,13 +23,13 @@
         self.outcome == "answered" && self.status == 200
     }
 
-    /// Outcome and reason in one.
-    pub(crate) fn verdict(&self) -> String {
+    /// Status, outcome and reason as one text.
+    pub(crate) fn summary(&self) -> String {
         format!("{} {} {}", self.status, self.outcome, self.reason)
     }
 }
 
-/// A caller who speaks to one entry node.
+/// A caller of one entry node.
 #[derive(Clone, Debug)]
 pub(crate) struct Caller {
     entry: SocketAddr,
@@ -37,7 +37,7 @@
 }
 
 impl Caller {
-    /// Opens a connection for each request, and never repeats one unasked.
+    /// Opens a connection for each request and never retries by itself.
     pub(crate) fn at(entry: SocketAddr) -> Caller {
         let http = reqwest::Client::builder()
             .no_proxy()
@@ -53,7 +53,7 @@
             .await
     }
 
-    /// First send of a request that may not be repeated: no ticket yet.
+    /// First send of a non-idempotent request, without a ticket.
     pub(crate) async fn post(&self, path: &str, marker: &str) -> Reply {
         self.send(Method::POST, path, &[("x-marker", marker)], "")
             .await
@@ -64,8 +64,8 @@
         self.send(Method::POST, path, &headers, "").await
     }
 
-    /// Asks for a ticket by a first send without one; comes back while the
-    /// fleet refuses for a passing reason.
+    /// Gets a ticket by a first send without one; retries while the fleet refuses for a transient
+    /// reason.
     pub(crate) async fn ticket(&self, path: &str, marker: &str) -> String {
         let mut last = Reply::default();
         for _ in 0..200 {
--- a/crates/hemlocktack-node/tests/processes/harness/document.rs
+++ b/crates/hemlocktack-node/tests/processes/harness/document.rs
@@ -1,7 +1,6 @@
-//! The operators' document of these tests.
+//! The configuration document of these tests.
 
-/// Three services; what is asked by POST may not be repeated. Answers of the
-/// keys may be large.
+/// Three services whose POST requests are not idempotent. Answers of `keys` may be large.
 pub(crate) const DOCUMENT: &str = r#"
 [limits]
 drain_limit_ms = 30000
@@ -70,7 +69,7 @@
 idempotent = false
 "#;
 
-/// The same rules in another document.
+/// The same configuration in a different document.
 pub(crate) fn document_with_comment(comment: &str) -> String {
     format!("# {comment}\n{DOCUMENT}")
 }
--- a/crates/hemlocktack-node/tests/processes/harness/fleet.rs
+++ b/crates/hemlocktack-node/tests/processes/harness/fleet.rs
@@ -1,4 +1,4 @@
-//! A whole small fleet.
+//! A small fleet: platform, nodes and upstreams.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
 
 const DATA_CENTRES: [&str; 2] = ["salt-lake", "howrah"];
 
-/// Instances of one service.
+/// The instances of one service to start.
 #[derive(Clone, Debug)]
 pub(crate) struct Plan {
     pub(crate) service: &'static str,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Links to these nodes can be cut.
+    /// Puts a relay in front of these nodes, so that links to them can be cut.
     pub(crate) fn relayed(self) -> Plan {
         Plan {
             is_relayed: true,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Further flags of the nodes.
+    /// Adds flags of the nodes.
     pub(crate) fn with_node_flags(self, flags: Vec<String>) -> Plan {
         Plan {
             node_flags: flags,
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Further flags of the upstreams, such as `--deeper`.
-    pub(crate) fn with(self, flags: &[&'static str]) -> Plan {
+    /// Adds flags of the upstreams, such as `--deeper`.
+    pub(crate) fn with_upstream_flags(self, flags: &[&'static str]) -> Plan {
         Plan {
             upstream_flags: flags.to_vec(),
             ..self
@@ -56,7 +56,7 @@
     }
 }
 
-/// Platform, nodes and upstreams of one test.
+/// The platform, nodes and upstreams of one test.
 pub(crate) struct Fleet {
     pub(crate) platform: PlatformProcess,
     pub(crate) nodes: Vec<Node>,
@@ -77,7 +77,7 @@
             }
         }
         let operator = fleet.operator(0, "asha");
-        wait_until("the first configuration is taken", || async {
+        wait_until("the first configuration is stored", || async {
             let applied = operator.apply(DOCUMENT, 0).await;
             let is_input_fault = applied.exit_code == 2;
             assert!(!is_input_fault, "{applied:?}");
@@ -88,13 +88,13 @@
         fleet
     }
 
-    /// Starts one more instance; its number makes its name.
+    /// Starts one more instance, named by its number; returns its position.
     pub(crate) fn add(&mut self, plan: &Plan, number: usize) -> usize {
         self.nodes.push(Node::start(self.options(plan, number)));
         self.nodes.len() - 1
     }
 
-    /// Kills an instance, and starts one of this plan at its addresses.
+    /// Kills an instance and starts one of this plan at the same addresses.
     pub(crate) fn replace(&mut self, position: usize, plan: &Plan, number: usize) {
         let options = self.options(plan, number);
         self.nodes[position].process.kill();
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Ends a node and starts it again with other fleet keys.
+    /// Kills a node and starts it again with other fleet keys.
     pub(crate) fn restart_with_keys(&mut self, position: usize, keys: (&str, Option<&str>)) {
         self.nodes[position].process.kill();
         let options = NodeOptions {
@@ -136,7 +136,7 @@
         self.nodes.iter().map(|node| node.gossip).collect()
     }
 
-    /// Every node is ready, knows all others and gets an answer from every service.
+    /// Waits until every node is ready, knows all others and gets an answer from every service.
     pub(crate) async fn wait_until_serving(&self) {
         for node in &self.nodes {
             let what = format!("{} is ready", node.options.id);
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Every node knows of every other one: news between them takes a moment.
+    /// Waits until every node knows every other one; gossip takes a moment to spread.
     pub(crate) async fn wait_until_known(&self) {
         for position in 0..self.nodes.len() {
             let operator = self.operator(position, "asha");
@@ -183,7 +183,7 @@
         services
     }
 
-    /// Cuts all links to relayed nodes, until they are restored.
+    /// Cuts all links to relayed nodes until [`Fleet::restore_links`].
     pub(crate) fn cut_links(&self) {
         let relays = self.nodes.iter().filter_map(|node| node.relay.as_ref());
         relays.for_each(hemlocktack_testkit::Relay::cut);
@@ -202,39 +202,37 @@
         Operator::at(self.nodes[node].control, name)
     }
 
-    /// Positions of a service's nodes.
-    pub(crate) fn of(&self, service: &str) -> Vec<usize> {
+    /// Returns the positions of a service's nodes.
+    pub(crate) fn positions_of(&self, service: &str) -> Vec<usize> {
         (0..self.nodes.len())
             .filter(|position| self.nodes[*position].options.service == service)
             .collect()
     }
 
-    /// What the upstreams of a service have done, those that are gone left out.
+    /// Returns the counts of the upstreams of a service that are running.
     pub(crate) async fn counts(&self, service: &str) -> Vec<upstream::Counts> {
         let mut counts = Vec::new();
-        for position in self.of(service) {
+        for position in self.positions_of(service) {
             counts.extend(self.nodes[position].upstream.try_counts().await);
         }
         counts
     }
 
-    /// Starts of the requests with that marker at all upstreams of a service.
+    /// Counts the starts of requests with this marker at all upstreams of a service.
     pub(crate) async fn starts(&self, service: &str, marker: &str) -> u64 {
         let counts = self.counts(service).await;
         counts.iter().map(|counts| counts.starts_of(marker)).sum()
     }
 
-    /// Waits until an upstream of the service has started the request; its node.
+    /// Waits until an upstream of the service has started the request; returns the position of its
+    /// node.
     pub(crate) async fn wait_for_start(&self, service: &str, marker: &str) -> usize {
         let mut found = None;
         let what = format!("{service} starts {marker}");
-        let give_up_at = std::time::Instant::now() + super::PATIENCE;
+        let deadline = std::time::Instant::now() + super::WAIT_TIMEOUT;
         while found.is_none() {
-            assert!(
-                std::time::Instant::now() < give_up_at,
-                "waited in vain: {what}"
-            );
-            for position in self.of(service) {
+            assert!(std::time::Instant::now() < deadline, "timed out: {what}");
+            for position in self.positions_of(service) {
                 let counts = self.nodes[position].upstream.try_counts().await;
                 if counts.is_some_and(|counts| counts.starts_of(marker) > 0) {
                     found = Some(position);
@@ -246,15 +244,15 @@
 
     /// Sets the service time of all upstreams of a service.
     pub(crate) async fn set_service_time_ms(&self, service: &str, service_time_ms: u64) {
-        for position in self.of(service) {
+        for position in self.positions_of(service) {
             let upstream = &self.nodes[position].upstream;
             upstream.set_service_time_ms(service_time_ms).await;
         }
     }
 }
 
-/// An upstream that books deeper down cannot do so for a page; its node refusing
-/// that is as good as an answer.
+/// Whether the warm-up page was served. An upstream whose child call is a booking cannot make it
+/// for a page, so a refusal of that child call counts as served.
 fn is_served(page: &Reply) -> bool {
     page.is_answered() || page.body["deeper"][0]["reason"] == "ticket-required"
 }
--- a/crates/hemlocktack-node/tests/processes/harness/load.rs
+++ b/crates/hemlocktack-node/tests/processes/harness/load.rs
@@ -1,4 +1,4 @@
-//! Families who browse and book without a pause.
+//! Callers that send page requests and bookings without pauses.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -8,7 +8,7 @@
 const BROWSED: &str = "diaries/slots";
 const BOOKED: &str = "diaries/appointments";
 
-/// Callers at work until they are told to stop.
+/// Callers that run until they are stopped.
 pub(crate) struct Load {
     stop: Arc<AtomicBool>,
     answered: Arc<AtomicU64>,
@@ -16,7 +16,7 @@
 }
 
 impl Load {
-    /// So many who browse and so many who book, spread over the callers.
+    /// Starts these numbers of workers that browse and that book, spread over the callers.
     pub(crate) fn start(browsers: usize, bookers: usize, callers: &[Caller]) -> Load {
         let mut load = Load {
             stop: Arc::new(AtomicBool::new(false)),
@@ -34,22 +34,22 @@
         let stop = self.stop.clone();
         let answered = self.answered.clone();
         self.workers.push(tokio::spawn(async move {
-            let mut asked: Vec<Booking> = Vec::new();
+            let mut requests: Vec<Booking> = Vec::new();
             while !stop.load(Ordering::Relaxed) {
-                let marker = format!("worker {worker}, request {}", asked.len());
+                let marker = format!("worker {worker}, request {}", requests.len());
                 let next = match browses {
                     true => browse(&caller, &marker).await,
                     false => book(&caller, BOOKED, &marker).await,
                 };
                 let is_answered = next.last().is_answered();
                 answered.fetch_add(is_answered.into(), Ordering::Relaxed);
-                asked.push(next);
+                requests.push(next);
             }
-            asked
+            requests
         }));
     }
 
-    /// Waits until so many more requests have been answered.
+    /// Waits until `count` more requests have been answered.
     pub(crate) async fn wait_for_more(&self, count: u64) {
         let from = self.answered.load(Ordering::Relaxed);
         wait_until("more requests are answered", || async {
@@ -58,18 +58,18 @@
         .await;
     }
 
-    /// Everything that was asked; browsing has no ticket.
+    /// Stops the workers and returns all requests; page requests have no ticket.
     pub(crate) async fn end(self) -> Vec<Booking> {
         self.stop.store(true, Ordering::Relaxed);
-        let mut asked = Vec::new();
+        let mut requests = Vec::new();
         for worker in self.workers {
-            asked.extend(worker.await.unwrap());
+            requests.extend(worker.await.unwrap());
         }
-        asked
+        requests
     }
 }
 
-/// Takes a ticket and books with it.
+/// Gets a ticket and books with it.
 pub(crate) async fn book(caller: &Caller, path: &str, marker: &str) -> Booking {
     let ticket = caller.ticket(path, marker).await;
     let reply = caller.post_with(path, marker, &ticket).await;
--- a/crates/hemlocktack-node/tests/processes/harness/node.rs
+++ b/crates/hemlocktack-node/tests/processes/harness/node.rs
@@ -1,4 +1,4 @@
-//! One `hemlocktackd` and the upstream beside it.
+//! One instance: a `hemlocktackd` and its upstream.
 
 use std::net::SocketAddr;
 
@@ -7,28 +7,29 @@
 use super::process::{Process, node_program};
 use super::{UpstreamProcess, next_address};
 
-/// All nodes of a test share it.
+/// Fleet key of all nodes of a test.
 pub(crate) const FLEET_KEY: &str = "a fleet key for tests, long enough for a node";
-/// Token of the operators' calls.
+/// Token of operator calls.
 pub(crate) const OPERATOR_TOKEN: &str = "operators-token-for-tests";
 
-/// What differs from node to node.
+/// Options that differ between nodes.
 #[derive(Clone, Debug)]
 pub(crate) struct NodeOptions {
     pub(crate) id: String,
     pub(crate) service: String,
     pub(crate) data_centre: String,
     pub(crate) platform: SocketAddr,
-    /// Gossip addresses of nodes to ask first.
+    /// Gossip addresses of nodes to join through.
     pub(crate) seed_peers: Vec<SocketAddr>,
-    /// Key to sign with, and one more to accept.
+    /// Key to sign with.
     pub(crate) fleet_key: String,
+    /// Another key to accept.
     pub(crate) previous_fleet_key: Option<String>,
-    /// Whether links to it go through a relay of the test's.
+    /// Whether links to it go through a relay that the test controls.
     pub(crate) is_relayed: bool,
-    /// Further flags of the node.
+    /// Additional flags of the node.
     pub(crate) flags: Vec<String>,
-    /// Further flags of its upstream.
+    /// Additional flags of its upstream.
     pub(crate) upstream_flags: Vec<String>,
 }
 
@@ -37,7 +38,7 @@
     pub(crate) options: NodeOptions,
     pub(crate) callers: SocketAddr,
     pub(crate) control: SocketAddr,
-    /// Where others reach it: itself, or the relay before it.
+    /// Link address for the other nodes: its own, or that of its relay.
     pub(crate) link: SocketAddr,
     pub(crate) relay: Option<Relay>,
     link_listen: SocketAddr,
@@ -51,9 +52,9 @@
         Node::start_at(options, next_address(), next_address())
     }
 
-    /// Starts where another node was, for nodes that still know that one.
-    pub(crate) fn start_in_place_of(gone: &Node, options: NodeOptions) -> Node {
-        Node::start_at(options, gone.link, gone.gossip)
+    /// Starts a node at the link and gossip addresses of a former one that other nodes still know.
+    pub(crate) fn start_in_place_of(former: &Node, options: NodeOptions) -> Node {
+        Node::start_at(options, former.link, former.gossip)
     }
 
     fn start_at(options: NodeOptions, link: SocketAddr, gossip: SocketAddr) -> Node {
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Starts the relay of a node that has one.
+    /// Starts the relay if the node has one.
     pub(crate) async fn start_relay(&mut self) {
         if self.options.is_relayed {
             let relay = Relay::spawn(self.link, self.link_listen).await;
@@ -110,20 +111,20 @@
         }
     }
 
-    /// Whether the node says that it takes calls.
+    /// Whether the node reports that it is ready.
     pub(crate) async fn is_ready(&self) -> bool {
         let url = format!("http://{}/ready", self.control);
         let answer = reqwest::get(url).await;
         answer.is_ok_and(|answer| answer.status().is_success())
     }
 
-    /// Nodes that this one knows to be ready, from its metrics.
+    /// Number of nodes that this one knows to be ready, from its metrics.
     pub(crate) async fn ready_members(&self) -> Option<usize> {
         let count = self.metric("hemlocktack_members{state=\"ready\"}").await?;
         count.parse().ok()
     }
 
-    /// Value of a metric, named with its labels.
+    /// Value of a metric, given by its name with labels.
     pub(crate) async fn metric(&self, name: &str) -> Option<String> {
         let url = format!("http://{}/metrics", self.control);
         let text = reqwest::get(url).await.ok()?.text().await.ok()?;
--- a/crates/hemlocktack-node/tests/processes/harness/operator.rs
+++ b/crates/hemlocktack-node/tests/processes/harness/operator.rs
@@ -1,4 +1,4 @@
-//! Operators: the command line as a process.
+//! Operators, who run the command-line tool as a process.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -9,15 +9,15 @@
 use super::OPERATOR_TOKEN;
 use super::process::operator_program;
 
-/// How one run of the command line ended.
+/// Result of one run of the command-line tool.
 #[derive(Debug)]
-pub(crate) struct Applied {
+pub(crate) struct CommandResult {
     pub(crate) exit_code: i32,
     pub(crate) report: Value,
-    pub(crate) failure: String,
+    pub(crate) stderr: String,
 }
 
-/// An operator who speaks to one node.
+/// An operator who sends commands to one node.
 #[derive(Clone, Debug)]
 pub(crate) struct Operator {
     node_control: SocketAddr,
@@ -32,15 +32,15 @@
         }
     }
 
-    /// `config apply`, started from the generation.
-    pub(crate) async fn apply(&self, document: &str, expected_generation: u64) -> Applied {
+    /// Runs `config apply` with this expected generation.
+    pub(crate) async fn apply(&self, document: &str, expected_generation: u64) -> CommandResult {
         let expected = expected_generation.to_string();
         let arguments = ["config", "apply", "-", "--expect-generation", &expected];
         self.run(&arguments, document).await
     }
 
-    /// Any command, with text for its standard input.
-    pub(crate) async fn run(&self, arguments: &[&str], input: &str) -> Applied {
+    /// Runs a command with this text on its standard input.
+    pub(crate) async fn run(&self, arguments: &[&str], input: &str) -> CommandResult {
         let mut command = Command::new(operator_program());
         command
             .args(arguments)
@@ -57,22 +57,22 @@
         let input = input.to_owned();
         let output = tokio::task::spawn_blocking(move || {
             let mut child = command.spawn().unwrap();
-            // A command that fails early does not read it.
+            // Writing fails if the command fails before it reads its input.
             let _ = child.stdin.take().unwrap().write_all(input.as_bytes());
             child.wait_with_output().unwrap()
         })
         .await
         .unwrap();
-        Applied {
+        CommandResult {
             exit_code: output.status.code().unwrap(),
             report: serde_json::from_slice(&output.stdout).unwrap_or_default(),
-            failure: String::from_utf8(output.stderr).unwrap(),
+            stderr: String::from_utf8(output.stderr).unwrap(),
         }
     }
 }
 
-impl Applied {
-    /// The generation that the report names, where the change was accepted.
+impl CommandResult {
+    /// The generation in the report; `None` if the change was not accepted.
     pub(crate) fn generation(&self) -> Option<u64> {
         let generation = &self.report["generation"];
         let text = generation.as_str().map(str::to_owned);
--- a/crates/hemlocktack-node/tests/processes/harness/process.rs
+++ b/crates/hemlocktack-node/tests/processes/harness/process.rs
@@ -1,11 +1,11 @@
-//! One child process, ended by its id when its owner goes, also on a panic.
+//! A child process that is killed when its owner is dropped, so also on a panic.
 
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
 use super::wait_until;
 
-/// What nodes log into a failed test's report.
+/// Log filter of the processes; a failed test reports their log.
 const LOG_FILTER: &str = "warn,rocket=off";
 
 /// A child process.
@@ -44,7 +44,7 @@
         assert!(status.unwrap().success(), "{}: kill -{signal}", self.name);
     }
 
-    /// Ends it without a chance to clean up.
+    /// Kills it without a chance to clean up.
     pub(crate) fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -54,7 +54,7 @@
         self.child.try_wait().unwrap().is_some()
     }
 
-    /// Waits for its end; the exit code, `None` where a signal ended it.
+    /// Waits until it ends and returns its exit code; `None` if a signal ended it.
     pub(crate) async fn exit_code(&mut self) -> Option<i32> {
         let what = format!("{} ends", self.name);
         let child = &mut self.child;
@@ -79,12 +79,12 @@
     PathBuf::from(env!("CARGO_BIN_EXE_hemlocktackd"))
 }
 
-/// The operators' command line, built beside the node.
+/// The command-line tool of operators, built beside the node.
 pub(crate) fn operator_program() -> PathBuf {
     node_program().with_file_name("hemlocktack")
 }
 
-/// A stand-in, built as an example.
+/// A stand-in that is built as an example.
 pub(crate) fn example_program(name: &str) -> PathBuf {
     node_program().with_file_name("examples").join(name)
 }
--- a/crates/hemlocktack-node/tests/processes/harness/stand_ins.rs
+++ b/crates/hemlocktack-node/tests/processes/harness/stand_ins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as processes, steered over HTTP.
+//! The stand-ins of platform and upstream as processes, controlled over HTTP.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
 use super::process::{Process, example_program};
 use super::{next_address, wait_until};
 
-/// The platform's stand-in.
+/// The stand-in for the platform.
 pub(crate) struct PlatformProcess {
     pub(crate) address: SocketAddr,
     _process: Process,
@@ -28,7 +28,7 @@
         }
     }
 
-    pub(crate) async fn set(&self, switches: platform::Switches) {
+    pub(crate) async fn set_switches(&self, switches: platform::Switches) {
         put_switches(self.address, &switches).await;
     }
 
@@ -37,7 +37,7 @@
             down,
             ..platform::Switches::default()
         };
-        self.set(switches).await;
+        self.set_switches(switches).await;
     }
 
     /// Value of an object.
@@ -46,15 +46,14 @@
         object.unwrap()["value"].take()
     }
 
-    /// Everything that is stored of the configuration: keys, versions, values.
-    /// Nodes write their own records whenever they like, so a count of all
-    /// writes says nothing about one command.
+    /// Keys, versions and values of all stored configuration objects. Nodes write their own records
+    /// at any time, so a count of all writes would not show the effect of one command.
     pub(crate) async fn configuration_objects(&self) -> Value {
         let listing = read::<Value>(self.address, "objects?prefix=configuration/").await;
         listing.unwrap()["objects"].take()
     }
 
-    /// Replaces an object's value, whatever it is.
+    /// Replaces an object's value, whatever its present version.
     pub(crate) async fn replace(&self, key: &str, value: &Value) {
         let object: Value = read(self.address, &format!("objects/{key}")).await.unwrap();
         let url = format!(
@@ -66,7 +65,7 @@
     }
 }
 
-/// An upstream's stand-in.
+/// The stand-in for an upstream.
 pub(crate) struct UpstreamProcess {
     pub(crate) address: SocketAddr,
     arguments: Vec<String>,
@@ -74,7 +73,7 @@
 }
 
 impl UpstreamProcess {
-    /// `arguments` are those of the example, but for its address.
+    /// Starts the example with these arguments and a free address.
     pub(crate) fn start(mut arguments: Vec<String>) -> UpstreamProcess {
         let address = next_address();
         arguments.extend(["--address".to_owned(), address.to_string()]);
@@ -86,23 +85,23 @@
         }
     }
 
-    /// Starts it anew at the same address, as whoever runs it does after a crash.
+    /// Restarts it at the same address, as a supervisor does after a crash.
     pub(crate) fn restart(&mut self) {
         self.process.kill();
         self.process = Process::start("upstream", &example_program("upstream"), &self.arguments);
     }
 
-    pub(crate) async fn set(&self, switches: upstream::Switches) {
+    pub(crate) async fn set_switches(&self, switches: upstream::Switches) {
         put_switches(self.address, &switches).await;
     }
 
-    /// Time that each of its calls takes from now on.
+    /// Sets the time that each of its calls takes from now on.
     pub(crate) async fn set_service_time_ms(&self, service_time_ms: u64) {
         let switches = upstream::Switches {
             service_time_ms,
             ..upstream::Switches::default()
         };
-        self.set(switches).await;
+        self.set_switches(switches).await;
     }
 
     pub(crate) async fn counts(&self) -> upstream::Counts {
--- a/crates/hemlocktack-node/tests/processes/harness/wait.rs
+++ b/crates/hemlocktack-node/tests/processes/harness/wait.rs
@@ -1,19 +1,19 @@
-//! Bounded waiting for a condition.
+//! Waits for a condition, with a timeout.
 
 use std::time::{Duration, Instant};
 
-/// Far longer than anything takes; reached only by a fault.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(40);
-const POLL_EVERY: Duration = Duration::from_millis(20);
+/// Timeout far above what any condition needs; reached only in case of a failure.
+pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Polls until the condition holds; panics with `what` when it never does.
+/// Polls until the condition holds; panics with `what` after the timeout.
 pub(crate) async fn wait_until<F>(what: &str, mut condition: impl FnMut() -> F)
 where
     F: Future<Output = bool>,
 {
-    let give_up_at = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !condition().await {
-        assert!(Instant::now() < give_up_at, "waited in vain: {what}");
-        tokio::time::sleep(POLL_EVERY).await;
+        assert!(Instant::now() < deadline, "timed out: {what}");
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/hemlocktack-node/tests/processes/links.rs
+++ b/crates/hemlocktack-node/tests/processes/links.rs
@@ -1,4 +1,4 @@
-//! Links between nodes that break and come back.
+//! Links between nodes that are cut and restored.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -6,13 +6,15 @@
 
 use reqwest::Method;
 
-use crate::harness::{Booking, Caller, Fleet, PATIENCE, Plan, Reply, assert_honest, wait_until};
+use crate::harness::{
+    Booking, Caller, Fleet, Plan, Reply, WAIT_TIMEOUT, assert_outcomes_are_true, wait_until,
+};
 
 const PATH: &str = "diaries/appointments";
 const SERVICE_MS: u64 = 1_500;
-/// Longer than the pause between two attempts to reach a peer, shorter than a run.
-const CUT: Duration = Duration::from_millis(300);
-/// Together 18 MB: more than loopback sockets and a link's outbox hold.
+/// Longer than the delay between two attempts to connect to a peer, shorter than a run.
+const CUT_DURATION: Duration = Duration::from_millis(300);
+/// With [`LARGE_BODY_BYTES`], 18 MB: more than loopback sockets and a link's outbox hold.
 const PAGES_TO_FILL_SOCKETS: usize = 300;
 const LARGE_BODY_BYTES: usize = 60_000;
 
@@ -30,12 +32,11 @@
     }
 }
 
-/// Bookings run when every link to the diaries' nodes breaks, for a moment. The
-/// entry asks the same starts of the homes over new links and hears that the
-/// bookings run: each caller gets its answer on the first send, and nothing ran
-/// twice.
+/// Every link to the nodes of `diaries` is cut briefly while bookings run. The entry queries the
+/// homes over new links and learns that the bookings are running: each caller gets its answer on
+/// the first send, and nothing runs twice.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_cut_link_costs_no_answer() {
+async fn a_briefly_cut_link_loses_no_answer() {
     let fleet = Fleet::start(&plans()).await;
     let caller = fleet.caller(0);
     let mut tickets = Vec::new();
@@ -60,7 +61,7 @@
         fleet.wait_for_start("diaries", marker).await;
     }
     fleet.cut_links();
-    tokio::time::sleep(CUT).await;
+    tokio::time::sleep(CUT_DURATION).await;
     fleet.restore_links();
     let mut bookings = Vec::new();
     for pending in pending {
@@ -69,15 +70,14 @@
     for booking in &bookings {
         assert!(booking.last().is_answered(), "{booking:#?}");
     }
-    assert_honest(&fleet, "diaries", &bookings).await;
+    assert_outcomes_are_true(&fleet, "diaries", &bookings).await;
 }
 
-/// The link stays cut past the callers' patience, with pages and bookings
-/// running and other bookings sent meanwhile. What runs is `unknown`; the
-/// others are `unknown` too, or `not-run` and then never run. When the link is
-/// back, the bookings are sent again with the same tickets.
+/// The link stays cut for longer than the caller timeout while pages and bookings run and further
+/// bookings are sent. Those that run are `unknown`; the others are `unknown` as well, or `not-run`
+/// and then never run. When the link is restored, the bookings are sent again with the same tickets.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_link_is_cut_past_the_callers_patience() {
+async fn a_link_is_cut_for_longer_than_the_caller_timeout() {
     let plans = [Plan::new("listings", 2), Plan::new("diaries", 1).relayed()];
     let fleet = Fleet::start(&plans).await;
     let caller = fleet.caller(0);
@@ -113,9 +113,9 @@
         booking.replies.push(pending.await.unwrap());
         assert_ne!(booking.last().outcome, "answered", "{booking:#?}");
     }
-    assert_honest(&fleet, "diaries", &bookings).await;
+    assert_outcomes_are_true(&fleet, "diaries", &bookings).await;
     fleet.restore_links();
-    wait_until("the diary is reached again", || async {
+    wait_until("the node of diaries is reached again", || async {
         caller.get("diaries/slots", "back").await.is_answered()
     })
     .await;
@@ -125,7 +125,7 @@
             .await;
         booking.replies.push(again);
     }
-    assert_honest(&fleet, "diaries", &bookings).await;
+    assert_outcomes_are_true(&fleet, "diaries", &bookings).await;
     for booking in &bookings[..4] {
         assert!(booking.last().is_answered(), "{booking:#?}");
     }
@@ -140,19 +140,27 @@
     })
 }
 
-/// Links break again and again while families book and browse: frames are lost
-/// at any point of their way. Whatever the callers are told must be true, and
-/// they send each booking that is unknown again through the other entry.
+/// Links are cut repeatedly under load, so that frames are lost at any point on their way. Every
+/// outcome that callers are told must be true; they send each unknown booking again through the
+/// other entry.
 #[tokio::test(flavor = "multi_thread")]
-async fn links_break_again_and_again_under_load() {
+async fn links_are_cut_repeatedly_under_load() {
     let fleet = Fleet::start(&plans()).await;
     fleet.set_service_time_ms("diaries", 20).await;
     let stop = Arc::new(AtomicBool::new(false));
     let mut workers = Vec::new();
     for worker in 0..4 {
         let callers = [fleet.caller(worker % 2), fleet.caller((worker + 1) % 2)];
-        workers.push(tokio::spawn(book_on(worker, callers.clone(), stop.clone())));
-        workers.push(tokio::spawn(browse_on(worker, callers, stop.clone())));
+        workers.push(tokio::spawn(book_until_stopped(
+            worker,
+            callers.clone(),
+            stop.clone(),
+        )));
+        workers.push(tokio::spawn(browse_until_stopped(
+            worker,
+            callers,
+            stop.clone(),
+        )));
     }
     for round in 0..20 {
         tokio::time::sleep(Duration::from_millis(40 + 13 * (round % 5))).await;
@@ -161,33 +169,39 @@
         fleet.restore_links();
     }
     stop.store(true, Ordering::Relaxed);
-    let mut asked = Vec::new();
+    let mut requests = Vec::new();
     for worker in workers {
-        asked.extend(worker.await.unwrap());
+        requests.extend(worker.await.unwrap());
     }
-    let (bookings, pages): (Vec<_>, Vec<_>) = asked
+    let (bookings, pages): (Vec<_>, Vec<_>) = requests
         .into_iter()
-        .partition(|asked| !asked.ticket.is_empty());
-    assert_honest(&fleet, "diaries", &bookings).await;
+        .partition(|requests| !requests.ticket.is_empty());
+    assert_outcomes_are_true(&fleet, "diaries", &bookings).await;
     for page in &pages {
         let starts = fleet.starts("diaries", &page.marker).await;
-        let verdict = page.last().verdict();
+        let summary = page.last().summary();
         assert!(
             starts == 0 || page.last().outcome != "not-run",
             "{starts} starts of {page:#?}"
         );
         assert!(
             starts > 0 || page.last().outcome != "answered",
-            "{verdict}: {page:#?}"
+            "{summary}: {page:#?}"
         );
     }
-    for asked in [bookings, pages] {
-        let answered = asked.iter().filter(|asked| asked.last().is_answered());
-        assert!(answered.count() > 0, "{asked:#?}");
+    for requests in [bookings, pages] {
+        let answered = requests
+            .iter()
+            .filter(|requests| requests.last().is_answered());
+        assert!(answered.count() > 0, "{requests:#?}");
     }
 }
 
-async fn browse_on(worker: usize, callers: [Caller; 2], stop: Arc<AtomicBool>) -> Vec<Booking> {
+async fn browse_until_stopped(
+    worker: usize,
+    callers: [Caller; 2],
+    stop: Arc<AtomicBool>,
+) -> Vec<Booking> {
     let mut pages = Vec::new();
     while !stop.load(Ordering::Relaxed) {
         let marker = format!("worker {worker}, page {}", pages.len());
@@ -200,7 +214,11 @@
     pages
 }
 
-async fn book_on(worker: usize, callers: [Caller; 2], stop: Arc<AtomicBool>) -> Vec<Booking> {
+async fn book_until_stopped(
+    worker: usize,
+    callers: [Caller; 2],
+    stop: Arc<AtomicBool>,
+) -> Vec<Booking> {
     let mut bookings = Vec::new();
     while !stop.load(Ordering::Relaxed) {
         let marker = format!("worker {worker}, viewing {}", bookings.len());
@@ -217,14 +235,14 @@
     bookings
 }
 
-/// A node freezes with its sockets open, and the entry has more for it than the
-/// sockets' buffers hold. Every caller gets an end when its patience is over,
-/// also those whose calls wait for room. The frozen node wakes and reads what
-/// was sent: what callers were told as not run must not be among it.
+/// A node is frozen with its sockets open, and the entry has more to send than the socket buffers
+/// hold. Every caller gets a reply within its timeout, including those whose calls wait for buffer
+/// space. The node resumes and reads what was sent: it must not start calls whose callers were told
+/// `not-run`.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_node_with_full_sockets_holds_nobody_up() {
+async fn a_frozen_node_with_full_sockets_blocks_no_caller() {
     let fleet = Fleet::start(&[Plan::new("listings", 1), Plan::new("diaries", 1)]).await;
-    let frozen = fleet.of("diaries")[0];
+    let frozen = fleet.positions_of("diaries")[0];
     fleet.nodes[frozen].process.signal("STOP");
     let mut pending = Vec::new();
     for number in 0..PAGES_TO_FILL_SOCKETS {
@@ -241,12 +259,12 @@
     }
     let mut pages = Vec::new();
     for page in pending {
-        let ended = tokio::time::timeout(PATIENCE, page).await;
-        pages.push(ended.expect("a caller without an end").unwrap());
+        let ended = tokio::time::timeout(WAIT_TIMEOUT, page).await;
+        pages.push(ended.expect("a caller without a reply").unwrap());
     }
     fleet.nodes[frozen].process.signal("CONT");
     let caller = fleet.caller(0);
-    wait_until("the woken node serves", || async {
+    wait_until("the resumed node serves", || async {
         caller.get("diaries/slots", "woken").await.is_answered()
     })
     .await;
--- a/crates/hemlocktack-node/tests/processes/main.rs
+++ b/crates/hemlocktack-node/tests/processes/main.rs
@@ -1,9 +1,9 @@
-//! Failures of whole processes: nodes, upstreams and the platform as they run
-//! in production, on loopback, started from the built binaries and examples.
+//! Failure tests with whole processes: nodes, upstreams and the platform run on loopback,
+//! started from the built binaries and examples.
 //!
-//! `cargo build --workspace --bins --examples` goes before, as `.ci/run` does.
-//! Outcomes and counts at the upstreams are asserted, never times; every wait
-//! is bounded and ends as soon as what it waits for is there.
+//! Run `cargo build --workspace --bins --examples` first, as `.ci/run` does. The tests assert
+//! outcomes and the counts of the upstreams, never times. Every wait has a timeout and ends as soon
+//! as its condition holds.
 #![allow(clippy::unwrap_used)]
 
 mod addresses;
--- a/crates/hemlocktack-node/tests/processes/operator_calls.rs
+++ b/crates/hemlocktack-node/tests/processes/operator_calls.rs
@@ -1,12 +1,11 @@
-//! What operators see and order through any node.
+//! Operator commands through any node: status, drain, configuration.
 
 use serde_json::Value;
 
 use crate::harness::{DOCUMENT, Fleet, OPERATOR_TOKEN, Plan, document_with_comment, wait_until};
 
-/// An operator drains a node through another one, and the script that does so
-/// runs twice. The node refuses new calls, ends by itself with exit code 0, and
-/// the other one answers every caller meanwhile.
+/// An operator drains a node through another one, twice. The node refuses new calls and ends by
+/// itself with exit code 0; the other one answers every caller meanwhile.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_is_drained_through_another_one() {
     let mut fleet = Fleet::start(&[Plan::new("diaries", 2)]).await;
@@ -14,7 +13,7 @@
     let operator = fleet.operator(0, "asha");
     for _ in 0..2 {
         let drained = operator.run(&["drain", "diaries-2"], "").await;
-        let is_gone_already = drained.failure.contains("node-unreachable");
+        let is_gone_already = drained.stderr.contains("node-unreachable");
         assert!(drained.exit_code == 0 || is_gone_already, "{drained:?}");
         let reply = fleet.caller(0).get("diaries/slots", "during").await;
         assert!(reply.is_answered(), "{reply:?}");
@@ -24,11 +23,11 @@
     assert!(reply.is_answered(), "{reply:?}");
     let unknown = operator.run(&["drain", "diaries-9"], "").await;
     assert_eq!(unknown.exit_code, 1);
-    assert!(unknown.failure.contains("unknown-node"), "{unknown:?}");
+    assert!(unknown.stderr.contains("unknown-node"), "{unknown:?}");
 }
 
-/// One node is frozen. The status names it as silent instead of leaving it out
-/// or waiting for it, and shows the others as they are.
+/// A node is frozen. The status lists it as silent, rather than omitting it or waiting for it, and
+/// shows the other nodes.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_status_names_nodes_that_do_not_answer() {
     let fleet = Fleet::start(&[Plan::new("listings", 1), Plan::new("diaries", 2)]).await;
@@ -36,7 +35,7 @@
     fleet.nodes[2].process.signal("STOP");
     let operator = fleet.operator(0, "asha");
     let silent = serde_json::json!(["diaries-2"]);
-    // On a busy machine the process runs on for a moment after the signal.
+    // On a busy machine the process keeps running for a moment after the signal.
     wait_until("the status names the frozen node", || async {
         let status = operator.run(&["status"], "").await;
         status.report["silentNodeIds"] == silent
@@ -50,7 +49,7 @@
     assert_eq!(generations.collect::<Vec<_>>(), ["1", "1"]);
 }
 
-/// Calls enter at one node and run at another; the status has both ends.
+/// The status counts calls at the node where they enter, whichever node runs them.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_status_counts_calls_where_they_enter() {
     let fleet = Fleet::start(&[Plan::new("listings", 1), Plan::new("diaries", 1)]).await;
@@ -81,8 +80,8 @@
     );
 }
 
-/// Every generation stays readable, also while the platform is out if it is the
-/// one in force; the newest one is not guessed then, and changes are refused.
+/// Every generation stays readable, and the active one also during a platform outage. The newest
+/// generation is unknown during an outage, so a query for it and changes are refused.
 #[tokio::test(flavor = "multi_thread")]
 async fn stored_generations_are_shown() {
     let fleet = Fleet::start(&[Plan::new("diaries", 1)]).await;
@@ -111,18 +110,14 @@
         .await;
     assert_eq!(document(&in_force.report), second.as_str());
     let newest = operator.run(&["config", "show"], "").await;
-    assert!(
-        newest.failure.contains("platform-unavailable"),
-        "{newest:?}"
-    );
+    assert!(newest.stderr.contains("platform-unavailable"), "{newest:?}");
     let refused = operator.apply(DOCUMENT, 2).await;
     assert_eq!(refused.exit_code, 1, "{refused:?}");
 }
 
-/// Somebody uses the wrong verb, and somebody sends a body without end. Both
-/// are told what is wrong in the form of every other error.
+/// A wrong HTTP method and a body over the limit are refused in the same form as other errors.
 #[tokio::test(flavor = "multi_thread")]
-async fn other_verbs_and_bodies_over_the_limit_are_refused() {
+async fn wrong_methods_and_bodies_over_the_limit_are_refused() {
     let fleet = Fleet::start(&[Plan::new("diaries", 1)]).await;
     let control = fleet.nodes[0].control;
     let http = reqwest::Client::new();
@@ -142,12 +137,12 @@
     }
 }
 
-/// Operators allow no queue in front of a slow upstream with one slot, and then
-/// allow one. With none, a caller that comes second is refused at once and may
-/// go elsewhere; with one, it waits and is answered.
+/// An upstream has one slot. Without a queue, a second concurrent call is refused immediately and
+/// may be retried; with a queue, it waits and is answered.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_operators_queue_limit_is_in_force() {
-    let slow = Plan::new("diaries", 1).with(&["--slots", "1", "--service-time-ms", "400"]);
+    let slow =
+        Plan::new("diaries", 1).with_upstream_flags(&["--slots", "1", "--service-time-ms", "400"]);
     let fleet = Fleet::start(&[slow]).await;
     let operator = fleet.operator(0, "asha");
     let caller = fleet.caller(0);
@@ -185,8 +180,8 @@
     .await;
 }
 
-/// What the offline check says of a document is what the node says, word for
-/// word, whether it only checks or is asked to store; and nothing is stored.
+/// The offline check and the node report identical findings, whether the node checks or applies
+/// the document, and nothing is stored.
 #[tokio::test(flavor = "multi_thread")]
 async fn offline_check_and_node_agree() {
     let fleet = Fleet::start(&[Plan::new("diaries", 1)]).await;
@@ -213,7 +208,7 @@
     assert_eq!(stored, stored_before);
 }
 
-/// One operators' call in the JSON form.
+/// Sends one operator call in JSON.
 async fn call(fleet: &Fleet, method: &str, request: &Value) -> Value {
     let control = fleet.nodes[0].control;
     let url = format!("http://{control}/hemlocktack.v1.Operators/{method}");
--- a/crates/hemlocktack-node/tests/processes/operators.rs
+++ b/crates/hemlocktack-node/tests/processes/operators.rs
@@ -1,4 +1,4 @@
-//! Operators' changes: races, lost answers, and what is in force where.
+//! Configuration changes: races, lost answers, and the active generation of each node.
 
 use std::time::Duration;
 
@@ -7,13 +7,12 @@
 use crate::harness::{Fleet, Plan, document_with_comment, wait_until};
 
 const ROUNDS: u64 = 5;
-/// A watching node has taken in a change long before.
-const AFTER_A_CHANGE: Duration = Duration::from_secs(2);
+/// Far longer than a watching node needs to receive a change.
+const WATCH_TIME: Duration = Duration::from_secs(2);
 
-/// Operators of three teams apply different changes at the same time, each
-/// through another node and each from the same generation. One is accepted;
-/// the others are told of the conflict. The accepted one comes into force on
-/// every node, and no node ever goes back.
+/// Three operators apply different changes concurrently, each through another node and with the
+/// same expected generation. One is accepted; the others are told of the conflict. The accepted one
+/// becomes active on every node, and no node returns to an older generation.
 #[tokio::test(flavor = "multi_thread")]
 async fn racing_operators_have_one_winner() {
     let fleet = Fleet::start(&[Plan::new("listings", 1), Plan::new("diaries", 2)]).await;
@@ -43,17 +42,17 @@
     }
 }
 
-/// The platform stores the change and its answer is lost. The operator is told
-/// that it is stored; the same command again is the same change.
+/// The platform stores a change but its answer is lost. The operator is told that the change is
+/// stored, and repeating the command makes no second change.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lost_answer_is_no_second_change() {
     let fleet = Fleet::start(&[Plan::new("diaries", 2)]).await;
-    // Nodes write their own records too, and may lose an answer in its place.
+    // Nodes write their own records too, so one of theirs may be the answer that is lost.
     let switches = Switches {
         lose_answers: 3,
         ..Switches::default()
     };
-    fleet.platform.set(switches).await;
+    fleet.platform.set_switches(switches).await;
     let operator = fleet.operator(0, "asha");
     let document = document_with_comment("lost");
     let first = operator.apply(&document, 1).await;
@@ -65,11 +64,11 @@
     wait_in_force(&fleet, 2, &mut [0, 0]).await;
 }
 
-/// The platform comes back from an outage with an older state: what it stores
-/// as current is a generation that was replaced. Nodes keep the newer one that
-/// they have, and a node that starts then gets it from them.
+/// The platform comes back from an outage with an older state: the generation that it stores as
+/// current was replaced before. Nodes keep their newer one, and a node that starts afterwards gets
+/// it from them.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_older_document_in_the_platform_is_not_taken() {
+async fn an_older_document_in_the_platform_is_not_adopted() {
     let plan = Plan::new("diaries", 2);
     let mut fleet = Fleet::start(std::slice::from_ref(&plan)).await;
     let operator = fleet.operator(0, "asha");
@@ -86,7 +85,7 @@
         .platform
         .replace("configuration/current", &older)
         .await;
-    tokio::time::sleep(AFTER_A_CHANGE).await;
+    tokio::time::sleep(WATCH_TIME).await;
     for position in 0..2 {
         assert_eq!(in_force(&fleet, position).await, 3, "node {position}");
     }
@@ -96,10 +95,10 @@
     wait_in_force(&fleet, 3, &mut [0, 0, 0]).await;
 }
 
-/// A document with several faults: all of them are reported with their places,
-/// nothing is stored, and what was in force stays.
+/// All errors of an invalid document are reported with their places, nothing is stored, and the
+/// active configuration stays.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_faulty_document_is_refused_whole() {
+async fn an_invalid_document_is_refused_as_a_whole() {
     let fleet = Fleet::start(&[Plan::new("diaries", 1)]).await;
     let faulty = r#"
         [[classes]]
@@ -150,30 +149,30 @@
     assert_eq!(in_force(&fleet, 0).await, 1);
 }
 
-/// Waits until the generation is in force on all nodes; none may go back meanwhile.
+/// Waits until the generation is active on all nodes; asserts that none returns to an older one.
 async fn wait_in_force(fleet: &Fleet, generation: u64, seen: &mut [u64]) {
     for (position, seen) in seen.iter_mut().enumerate() {
         let what = format!("generation {generation} is in force on node {position}");
         let mut newest = *seen;
         let mut reverted = None;
-        let give_up_at = std::time::Instant::now() + crate::harness::PATIENCE;
+        let deadline = std::time::Instant::now() + crate::harness::WAIT_TIMEOUT;
         while newest < generation {
-            assert!(
-                std::time::Instant::now() < give_up_at,
-                "waited in vain: {what}"
-            );
+            assert!(std::time::Instant::now() < deadline, "timed out: {what}");
             let found = in_force(fleet, position).await;
             if found < newest {
                 reverted = Some(found);
             }
             newest = newest.max(found);
         }
-        assert_eq!(reverted, None, "node {position} went back");
+        assert_eq!(
+            reverted, None,
+            "node {position} returned to an older generation"
+        );
         *seen = newest;
     }
 }
 
-/// Generation in force on a node, from its metrics.
+/// The active generation of a node, from its metrics.
 async fn in_force(fleet: &Fleet, position: usize) -> u64 {
     let name = "hemlocktack_configuration_generation ";
     let generation = fleet.nodes[position].metric(name).await;
--- a/crates/hemlocktack-node/tests/processes/platform_out.rs
+++ b/crates/hemlocktack-node/tests/processes/platform_out.rs
@@ -1,38 +1,39 @@
-//! The platform is out or slow for as long as the test lasts.
+//! Calls, tickets and new nodes while the platform is unavailable or slow.
 
 use std::time::Duration;
 
 use hemlocktack_testkit::platform::Switches;
 
-use crate::harness::{Booking, Fleet, Plan, assert_honest, document_with_comment, wait_until};
+use crate::harness::{
+    Booking, Fleet, Plan, assert_outcomes_are_true, document_with_comment, wait_until,
+};
 
 const PATH: &str = "diaries/appointments";
-/// Longer than anything in the fleet is kept without being renewed.
-const LONG: Duration = Duration::from_secs(12);
+/// Longer than the lifetime of anything in the fleet that has to be renewed.
+const BEYOND_ALL_LIFETIMES: Duration = Duration::from_secs(12);
 
 fn plans() -> [Plan; 2] {
     [Plan::new("listings", 1), Plan::new("diaries", 2)]
 }
 
-/// The platform goes out for longer than anything is kept without being
-/// renewed. Families go on browsing and booking, with new tickets, through
-/// every node. An operator's change is refused without effect; when the
-/// platform is back, it is taken.
+/// The platform is unavailable for longer than the lifetime of anything that has to be renewed.
+/// Page requests and bookings with new tickets are answered through every node. An operator's
+/// change is refused without effect, and accepted when the platform is back.
 #[tokio::test(flavor = "multi_thread")]
-async fn calls_and_tickets_go_on() {
+async fn calls_and_tickets_work_without_the_platform() {
     let fleet = Fleet::start(&plans()).await;
     fleet.platform.set_down(true).await;
     let mut bookings = book_everywhere(&fleet, "at once").await;
-    tokio::time::sleep(LONG).await;
+    tokio::time::sleep(BEYOND_ALL_LIFETIMES).await;
     bookings.extend(book_everywhere(&fleet, "much later").await);
-    assert_honest(&fleet, "diaries", &bookings).await;
+    assert_outcomes_are_true(&fleet, "diaries", &bookings).await;
 
     let operator = fleet.operator(0, "asha");
     let change = document_with_comment("during the outage");
     let refused = operator.apply(&change, 1).await;
     assert_ne!(refused.exit_code, 0, "{refused:?}");
     fleet.platform.set_down(false).await;
-    wait_until("the change is taken", || async {
+    wait_until("the change is accepted", || async {
         let applied = operator.apply(&change, 1).await;
         assert_ne!(applied.exit_code, 2, "{applied:?}");
         applied.generation() == Some(2)
@@ -40,27 +41,27 @@
     .await;
 }
 
-/// The platform takes a minute for each call. Nothing on the way of a call
-/// waits for it, and an operator's change is not told as accepted.
+/// The platform takes a minute for each request. No call waits for it, and an operator's change is
+/// not reported as accepted.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_slow_platform_holds_no_call_up() {
+async fn a_slow_platform_delays_no_call() {
     let fleet = Fleet::start(&plans()).await;
     let switches = Switches {
         slow_ms: 60_000,
         ..Switches::default()
     };
-    fleet.platform.set(switches).await;
+    fleet.platform.set_switches(switches).await;
     let mut bookings = book_everywhere(&fleet, "at once").await;
-    tokio::time::sleep(LONG).await;
+    tokio::time::sleep(BEYOND_ALL_LIFETIMES).await;
     bookings.extend(book_everywhere(&fleet, "much later").await);
-    assert_honest(&fleet, "diaries", &bookings).await;
+    assert_outcomes_are_true(&fleet, "diaries", &bookings).await;
     let change = document_with_comment("while it is slow");
     let refused = fleet.operator(0, "asha").apply(&change, 1).await;
     assert_ne!(refused.exit_code, 0, "{refused:?}");
 }
 
-/// A node and its upstream are replaced while the platform is out. The new
-/// node gets the configuration from the others, becomes ready, and is called.
+/// A node and its upstream are replaced while the platform is unavailable. The new node gets the
+/// configuration from the others, becomes ready and receives calls.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_is_replaced() {
     let mut fleet = Fleet::start(&plans()).await;
@@ -83,7 +84,7 @@
     })
     .await;
     let bookings = book_everywhere(&fleet, "replaced").await;
-    assert_honest(&fleet, "diaries", &bookings).await;
+    assert_outcomes_are_true(&fleet, "diaries", &bookings).await;
 }
 
 async fn book_everywhere(fleet: &Fleet, name: &str) -> Vec<Booking> {
--- a/crates/hemlocktack-node/tests/processes/reload.rs
+++ b/crates/hemlocktack-node/tests/processes/reload.rs
@@ -1,4 +1,4 @@
-//! Settings that change while a node runs.
+//! Settings files that change while a node runs.
 
 use std::path::Path;
 use std::time::Duration;
@@ -16,7 +16,7 @@
     .unwrap();
 }
 
-/// Status of an operators' call with this token.
+/// HTTP status of an operator call with this token.
 async fn status(fleet: &Fleet, token: &str) -> u16 {
     let url = format!(
         "http://{}/hemlocktack.v1.Operators/GetStatus",
@@ -27,34 +27,33 @@
     call.send().await.unwrap().status().as_u16()
 }
 
-async fn wait_until_taken(fleet: &Fleet, token: &str) {
-    wait_until("the token is taken", || async {
+async fn wait_until_accepted(fleet: &Fleet, token: &str) {
+    wait_until("the token is accepted", || async {
         status(fleet, token).await == 200
     })
     .await;
 }
 
-/// One node whose settings file holds the old token, which is in force.
+/// Starts one node with the old token in its settings file and waits until it is accepted.
 async fn start_with_old_token(path: &Path) -> Fleet {
     write_token(path, OLD_TOKEN);
     let flags = vec!["--settings-file".to_owned(), path.display().to_string()];
     let fleet = Fleet::start(&[Plan::new("diaries", 1).with_node_flags(flags)]).await;
-    wait_until_taken(&fleet, OLD_TOKEN).await;
+    wait_until_accepted(&fleet, OLD_TOKEN).await;
     fleet
 }
 
-/// The file changes, once with the signal and once without. The node goes on to
-/// answer its callers and takes the new token over. Then the file is spoilt:
-/// what is in force stays, and the process lives.
+/// The file changes, once with a signal and once without: the node applies the new token. In
+/// between the file is invalid: the node keeps its settings and answers its callers.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_changed_file_is_taken_over_and_a_faulty_one_is_not() {
+async fn a_changed_file_is_applied_and_an_invalid_one_is_not() {
     let directory = tempfile::tempdir().unwrap();
     let path = directory.path().join("settings.env");
     let fleet = start_with_old_token(&path).await;
 
     write_token(&path, NEW_TOKEN);
     fleet.nodes[0].process.signal("HUP");
-    wait_until_taken(&fleet, NEW_TOKEN).await;
+    wait_until_accepted(&fleet, NEW_TOKEN).await;
     assert_eq!(status(&fleet, OLD_TOKEN).await, 401);
 
     std::fs::write(
@@ -68,15 +67,14 @@
     assert_eq!(status(&fleet, NEW_TOKEN).await, 200);
 
     write_token(&path, OLD_TOKEN);
-    wait_until_taken(&fleet, OLD_TOKEN).await;
+    wait_until_accepted(&fleet, OLD_TOKEN).await;
 }
 
-/// A tool rewrites the file as most do: it cuts it to nothing and then writes. The
-/// node looks at it in between. Taken for new settings, an empty file would undo all
-/// that the old one said, until the next look; operators' calls under the token that
-/// stands in both the old and the new file would be refused meanwhile.
+/// Most tools rewrite a file by truncating and then writing it, and the node may read it in
+/// between. Guards against an empty file that resets all settings until the next read: operator
+/// calls with a token that is in both the old and the new file would be refused meanwhile.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_file_that_is_being_written_is_not_taken_over() {
+async fn a_file_that_is_being_written_is_not_applied() {
     const REWRITES: usize = 5;
     let directory = tempfile::tempdir().unwrap();
     let path = directory.path().join("settings.env");
--- a/crates/hemlocktack-node/tests/processes/retries.rs
+++ b/crates/hemlocktack-node/tests/processes/retries.rs
@@ -1,23 +1,22 @@
-//! Retries of one user request over a whole chain.
+//! Retries of one request over a whole call chain.
 
 use hemlocktack_testkit::upstream::{Fault, Switches};
 
 use crate::harness::{Fleet, Plan};
 
-/// Of the caller kind `family`, which stands for callers that name none.
-const ALLOWANCE: u64 = 2;
+/// Retry allowance of the caller kind `family`, which is the default kind.
+const RETRY_ALLOWANCE: u64 = 2;
 const DEPTH: u64 = 3;
 const REQUESTS: u64 = 20;
 
-/// Listings ask diaries, diaries ask keys, and every answer of the keys is cut
-/// short. Each hop could send again: were each to do so as often as the caller
-/// may, one page would start the keys 27 times. All sends beyond the first, at
-/// every hop together, stay within the one allowance of the page.
+/// `listings` calls `diaries`, which calls `keys`, and every answer of `keys` is truncated. If each
+/// hop retried as often as the caller may, one page would start `keys` 27 times. All retries of a
+/// request, over all hops together, must stay within its one allowance.
 #[tokio::test(flavor = "multi_thread")]
-async fn one_request_has_one_allowance_however_deep_it_goes() {
+async fn all_hops_share_the_retry_allowance_of_a_request() {
     let fleet = Fleet::start(&[
-        Plan::new("listings", 2).with(&["--deeper", "GET diaries/slots"]),
-        Plan::new("diaries", 2).with(&["--deeper", "GET keys/box"]),
+        Plan::new("listings", 2).with_upstream_flags(&["--deeper", "GET diaries/slots"]),
+        Plan::new("diaries", 2).with_upstream_flags(&["--deeper", "GET keys/box"]),
         Plan::new("keys", 2),
     ])
     .await;
@@ -25,10 +24,13 @@
         fault: Some(Fault::ShortBody),
         ..Switches::default()
     };
-    for position in fleet.of("keys") {
-        fleet.nodes[position].upstream.set(switches.clone()).await;
+    for position in fleet.positions_of("keys") {
+        fleet.nodes[position]
+            .upstream
+            .set_switches(switches.clone())
+            .await;
     }
-    let mut most = 0;
+    let mut max_starts = 0;
     for request in 0..REQUESTS {
         let marker = format!("page {request}");
         fleet.caller(0).get("listings/flats", &marker).await;
@@ -36,8 +38,14 @@
         for service in ["listings", "diaries", "keys"] {
             starts += fleet.starts(service, &marker).await;
         }
-        assert!(starts <= DEPTH + ALLOWANCE, "{marker}: {starts} starts");
-        most = most.max(starts);
+        assert!(
+            starts <= DEPTH + RETRY_ALLOWANCE,
+            "{marker}: {starts} starts"
+        );
+        max_starts = max_starts.max(starts);
     }
-    assert!(most > DEPTH, "no retry was seen, so nothing was tested");
+    assert!(
+        max_starts > DEPTH,
+        "no retry was seen, so the limit was not tested"
+    );
 }
--- a/crates/hemlocktack-node/tests/processes/stop.rs
+++ b/crates/hemlocktack-node/tests/processes/stop.rs
@@ -1,4 +1,4 @@
-//! Planned stops and leaving upstreams, under load.
+//! Planned stops of nodes and draining upstreams, under load.
 
 use std::time::Duration;
 
@@ -8,71 +8,74 @@
 
 use crate::frames;
 use crate::harness::{
-    Booking, FLEET_KEY, Fleet, Load, Node, Plan, Reply, assert_honest, book, wait_until,
+    Booking, FLEET_KEY, Fleet, Load, Node, Plan, Reply, assert_outcomes_are_true, book, wait_until,
 };
 
 const PATH: &str = "diaries/appointments";
 const BROWSERS: usize = 3;
 const BOOKERS: usize = 3;
 const SERVICE_MS: u64 = 50;
-/// After which a leaving upstream must get no new work. Shorter than the few
-/// seconds of the promise, and than the lapse of its announcement, which would
-/// keep new work away as well.
-const LEAVING: Duration = Duration::from_secs(1);
-/// Longer than the HTTP listener's own grace, which would let calls end too.
+/// Time after which a draining upstream must get no new calls. It is shorter than the documented
+/// few seconds, and shorter than the lifetime of the announcement, whose expiry would stop new
+/// calls as well.
+const UPSTREAM_DRAIN_TIME: Duration = Duration::from_secs(1);
+/// Longer than the HTTP listener's own grace period, within which calls would end as well.
 const LONG_SERVICE_MS: u64 = 7_000;
-/// More than the sockets on both sides hold.
+/// More than the socket buffers of both sides hold.
 const LARGE_ANSWER_BYTES: usize = 12_000_000;
-/// The HTTP server hands an upload over once its first few bytes have come.
+/// The HTTP server passes a request on when the first few bytes of its body have arrived.
 const UPLOAD_BYTES: usize = 2_000;
-/// For which a reader pauses: longer than the drain of an idle node together
-/// with the HTTP listener's own grace, and shorter than the drain limit.
-const READERS_PAUSE: Duration = Duration::from_secs(8);
+/// Pause of a slow reader: longer than the drain of an idle node plus the HTTP listener's own grace
+/// period, and shorter than the drain limit.
+const READER_PAUSE: Duration = Duration::from_secs(8);
 
-/// Tells the node to stop and pauses until an idle node would have ended.
+/// Tells the node to stop and waits until an idle node would have ended.
 async fn stop_and_pause(node: &Node) {
     node.process.signal("TERM");
-    tokio::time::sleep(READERS_PAUSE).await;
+    tokio::time::sleep(READER_PAUSE).await;
 }
 
-fn assert_nothing_cut(asked: &[Booking]) {
+fn assert_nothing_cut(requests: &[Booking]) {
     let is_cut = |reply: &Reply| ["cut", "unknown", "not-sent"].contains(&reply.outcome.as_str());
-    let cut: Vec<&Booking> = asked
+    let cut: Vec<&Booking> = requests
         .iter()
-        .filter(|asked| asked.replies.iter().any(is_cut))
+        .filter(|requests| requests.replies.iter().any(is_cut))
         .collect();
-    assert!(cut.is_empty(), "{} of {}: {cut:#?}", cut.len(), asked.len());
+    assert!(
+        cut.is_empty(),
+        "{} of {}: {cut:#?}",
+        cut.len(),
+        requests.len()
+    );
 }
 
-/// An operator stops one diary's node under load (SIGTERM), as for a new
-/// version. Callers come in at other nodes: none of their requests is cut or
-/// left unknown, each booking ran once, and the node ends with code 0.
+/// A node is stopped under load with SIGTERM, as for an upgrade, while callers enter at other
+/// nodes. No request is cut or unknown, each booking runs once, and the node ends with exit code 0.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_is_stopped_under_load() {
     let mut fleet = Fleet::start(&[Plan::new("listings", 2), Plan::new("diaries", 2)]).await;
     fleet.set_service_time_ms("diaries", SERVICE_MS).await;
     let load = Load::start(BROWSERS, BOOKERS, &[fleet.caller(0), fleet.caller(1)]);
     load.wait_for_more(60).await;
-    let leaving = fleet.of("diaries")[0];
+    let leaving = fleet.positions_of("diaries")[0];
     fleet.nodes[leaving].process.signal("TERM");
     assert_eq!(fleet.nodes[leaving].process.exit_code().await, Some(0));
     load.wait_for_more(60).await;
-    let asked = load.end().await;
-    assert_nothing_cut(&asked);
-    let bookings: Vec<Booking> = asked
+    let requests = load.end().await;
+    assert_nothing_cut(&requests);
+    let bookings: Vec<Booking> = requests
         .into_iter()
-        .filter(|asked| !asked.ticket.is_empty())
+        .filter(|requests| !requests.ticket.is_empty())
         .collect();
-    assert_honest(&fleet, "diaries", &bookings).await;
+    assert_outcomes_are_true(&fleet, "diaries", &bookings).await;
 }
 
-/// Pages are in flight at the very node that is stopped, as entry and as the
-/// one that runs them, and bookings that came in elsewhere. All are answered
-/// on their first send before the node ends.
+/// A node is stopped while it is the entry of pages that it also runs, and runs bookings that
+/// entered at another node. All are answered on their first send before the node ends.
 #[tokio::test(flavor = "multi_thread")]
 async fn calls_at_the_stopping_node_itself_are_answered() {
     let mut fleet = Fleet::start(&[Plan::new("listings", 1), Plan::new("diaries", 1)]).await;
-    let stopping = fleet.of("diaries")[0];
+    let stopping = fleet.positions_of("diaries")[0];
     let mut pending = Vec::new();
     let mut markers = Vec::new();
     for number in 0..3 {
@@ -84,11 +87,11 @@
     fleet.set_service_time_ms("diaries", LONG_SERVICE_MS).await;
     for (marker, ticket) in markers.clone() {
         let entry = fleet.caller(0);
-        let itself = fleet.caller(stopping);
+        let stopping_entry = fleet.caller(stopping);
         pending.push(tokio::spawn(async move {
             match ticket {
                 Some(ticket) => entry.post_with(PATH, &marker, &ticket).await,
-                None => itself.get("diaries/slots", &marker).await,
+                None => stopping_entry.get("diaries/slots", &marker).await,
             }
         }));
     }
@@ -103,11 +106,11 @@
     assert_eq!(fleet.nodes[stopping].process.exit_code().await, Some(0));
 }
 
-/// A booking was answered by a node that is then stopped. Its caller never saw
-/// the answer and sends it again through another node: it gets that answer,
-/// from the successor that took the tickets over.
+/// A node answers a booking and is then stopped. The caller lost the answer and sends the booking
+/// again through another node: it gets the same answer from the successor to which the tickets
+/// were handed over.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_booking_of_a_stopped_node_is_still_known() {
+async fn a_booking_of_a_stopped_node_is_answered_by_its_successor() {
     let mut fleet = Fleet::start(&[Plan::new("listings", 1), Plan::new("diaries", 2)]).await;
     let caller = fleet.caller(0);
     let mut bookings = Vec::new();
@@ -123,19 +126,19 @@
             .await;
         booking.replies.push(again);
     }
-    assert_honest(&fleet, "diaries", &bookings).await;
+    assert_outcomes_are_true(&fleet, "diaries", &bookings).await;
     for booking in &bookings {
         assert!(booking.last().is_answered(), "{booking:#?}");
     }
 }
 
-/// An upstream tells its node that it is leaving. What it runs is answered;
-/// a few seconds later it gets nothing new, whichever node callers come in at.
+/// An upstream tells its node that it is draining. The calls that it runs are answered; a few
+/// seconds later it gets no new calls, whichever node they enter at.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leaving_upstream_gets_no_new_work() {
+async fn a_draining_upstream_gets_no_new_calls() {
     let fleet = Fleet::start(&[Plan::new("listings", 2), Plan::new("diaries", 2)]).await;
     fleet.set_service_time_ms("diaries", SERVICE_MS).await;
-    let leaving = fleet.of("diaries")[0];
+    let leaving = fleet.positions_of("diaries")[0];
     let load = Load::start(
         BROWSERS,
         BOOKERS,
@@ -144,17 +147,16 @@
     load.wait_for_more(60).await;
     let upstream = &fleet.nodes[leaving].upstream;
     upstream.drain().await;
-    tokio::time::sleep(LEAVING).await;
+    tokio::time::sleep(UPSTREAM_DRAIN_TIME).await;
     let starts_before = upstream.counts().await.all_starts();
     load.wait_for_more(60).await;
-    let asked = load.end().await;
-    assert_nothing_cut(&asked);
+    let requests = load.end().await;
+    assert_nothing_cut(&requests);
     assert_eq!(upstream.counts().await.all_starts(), starts_before);
 }
 
-/// A phone asks a node for a large page and reads it slowly. The page is ready,
-/// so nothing runs any more when the node is stopped, but most of it has not
-/// left yet. The phone gets all of it before the node ends.
+/// A caller reads a large answer slowly. When the node is stopped, no call runs any more but most
+/// of the answer has not been sent. The caller gets the whole answer before the node ends.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_large_answer_that_is_read_slowly_is_whole() {
     let mut fleet = Fleet::start(&[Plan::new("keys", 1)]).await;
@@ -170,8 +172,8 @@
     assert_eq!(fleet.nodes[0].process.exit_code().await, Some(0));
 }
 
-/// Another node sent a call and reads its link slowly. The answer waits in the
-/// link's buffer when the node that ran the call is stopped. It is whole.
+/// Another node sends a call and reads its link slowly. The answer waits in the link's buffer when
+/// the node that ran the call is stopped; it must arrive whole.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_large_answer_to_a_slow_node_is_whole() {
     let mut fleet = Fleet::start(&[Plan::new("keys", 1)]).await;
@@ -199,11 +201,10 @@
     assert_eq!(fleet.nodes[0].process.exit_code().await, Some(0));
 }
 
-/// A caller is half-way through its upload when the node is stopped. The node
-/// takes nothing new by the time the rest comes, but says so with a whole
-/// answer; the caller is not left with a cut connection.
+/// A node is stopped while a caller uploads a request body. When the rest arrives the node accepts
+/// no new calls, but it must answer with a complete refusal rather than close the connection.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_upload_that_is_under_way_gets_an_answer() {
+async fn an_upload_in_progress_gets_an_answer() {
     let mut fleet = Fleet::start(&[Plan::new("diaries", 1)]).await;
     let node = &fleet.nodes[0];
     let mut upload = TcpStream::connect(node.callers).await.unwrap();
--- a/crates/hemlocktack-node/tests/processes/telemetry.rs
+++ b/crates/hemlocktack-node/tests/processes/telemetry.rs
@@ -12,11 +12,11 @@
 const TRACEPARENT: &str = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01";
 const METRICS_PAGE: &str = include_str!("../../../../docs/METRICS.md");
 
-/// A sampled request goes down a chain of two services. Every hop and every
-/// wait of it is found under the caller's trace, through whichever node asks.
+/// A sampled request passes through two services. All its spans, of every hop and every wait, are
+/// found under the caller's trace id through any node.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_chain_is_explained_hop_by_hop() {
-    let listings = Plan::new("listings", 1).with(&["--deeper", "GET diaries/slots"]);
+    let listings = Plan::new("listings", 1).with_upstream_flags(&["--deeper", "GET diaries/slots"]);
     let fleet = Fleet::start(&[listings, Plan::new("diaries", 1)]).await;
     fleet.wait_until_known().await;
     let headers = [("traceparent", TRACEPARENT)];
@@ -45,8 +45,7 @@
     spans.map(name).collect()
 }
 
-/// A caller is refused, its request is not sampled, and it gives the operator
-/// the trace id of the answer.
+/// A refused request that is not sampled is found by the trace id in its answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_refused_request_is_explained() {
     let fleet = Fleet::start(&[Plan::new("diaries", 2)]).await;
@@ -61,11 +60,11 @@
     assert_eq!(span["reason"], "REASON_NO_UPSTREAM", "{explained:?}");
     assert_eq!(
         span["detail"], "GET /listings/flats",
-        "the query names persons"
+        "the query may hold personal data"
     );
 }
 
-/// Sampled spans leave for the collector that the settings name.
+/// Sampled spans are sent to the collector in the settings.
 #[tokio::test(flavor = "multi_thread")]
 async fn spans_go_to_the_collector() {
     let collector = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -83,9 +82,9 @@
         .send(reqwest::Method::GET, "diaries/slots", &headers, "")
         .await;
     let (mut stream, _) = collector.accept().await.unwrap();
-    let mut begin = [0; 23];
-    stream.read_exact(&mut begin).await.unwrap();
-    assert_eq!(&begin, b"POST /v1/traces HTTP/1.");
+    let mut request_line = [0; 23];
+    stream.read_exact(&mut request_line).await.unwrap();
+    assert_eq!(&request_line, b"POST /v1/traces HTTP/1.");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -112,7 +111,7 @@
     Some(format!("{name}: {}", meaning.trim_end_matches('.')))
 }
 
-/// Name and meaning from a row of the page's table.
+/// Name and meaning from a table row of the metrics page.
 fn listed_metric(line: &str) -> Option<String> {
     let row = line.strip_prefix("| `hemlocktack_")?;
     let cells = row.split('|').map(str::trim).collect::<Vec<_>>();
--- a/crates/hemlocktack-node/tests/processes/thin_path.rs
+++ b/crates/hemlocktack-node/tests/processes/thin_path.rs
@@ -1,17 +1,17 @@
-//! The whole path: entry node, node, upstream, its own node, node, upstream, and back.
+//! Calls over the whole path: entry node, node, upstream, its own node, node, upstream, and back.
 
 use crate::harness::{Fleet, Plan};
 
 fn chain() -> [Plan; 2] {
     [
-        Plan::new("listings", 2).with(&["--deeper", "GET diaries/slots"]),
+        Plan::new("listings", 2).with_upstream_flags(&["--deeper", "GET diaries/slots"]),
         Plan::new("diaries", 2),
     ]
 }
 
-/// A caller asks any of the four nodes for a listing page. The listing's
-/// upstream asks the diaries through its own node. The caller gets one whole
-/// answer to its own request, and each upstream on the way ran it once.
+/// A caller requests a page of `listings` through each of the four nodes, and the upstream calls
+/// `diaries` through its own node. The caller gets one whole answer to its own request, and each
+/// upstream on the path runs it once.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_call_goes_down_the_chain_and_comes_back_whole() {
     let fleet = Fleet::start(&chain()).await;
@@ -25,18 +25,18 @@
         assert_eq!(reply.body["marker"], marker);
         assert_eq!(reply.body["service"], "listings");
         assert_eq!(reply.body["path"], "flats");
-        let deeper = &reply.body["deeper"][0];
-        assert_eq!(deeper["outcome"], "answered");
-        assert_eq!(deeper["body"]["service"], "diaries");
-        assert_eq!(deeper["body"]["marker"], marker);
+        let child = &reply.body["deeper"][0];
+        assert_eq!(child["outcome"], "answered");
+        assert_eq!(child["body"]["service"], "diaries");
+        assert_eq!(child["body"]["marker"], marker);
         assert_eq!(fleet.starts("listings", &marker).await, 1);
         assert_eq!(fleet.starts("diaries", &marker).await, 1);
     }
 }
 
-/// A family books without a ticket, is given one, and books with it. It then
-/// sends the same booking again through each node, as after a lost answer: it
-/// gets the same answer, and the booking ran once.
+/// A caller books without a ticket, gets one, and books with it. It then sends the same booking
+/// again through each node, as after a lost answer: it gets the same answer, and the booking runs
+/// once.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_booking_sent_again_is_answered_and_not_run_again() {
     let fleet = Fleet::start(&chain()).await;
--- a/crates/hemlocktack-node/tests/processes/tickets.rs
+++ b/crates/hemlocktack-node/tests/processes/tickets.rs
@@ -1,11 +1,11 @@
-//! Tickets that are misused, and tickets of homes that stop.
+//! Misused tickets, tickets of stopped homes, and re-sends after a change of keys or settings.
 
 use reqwest::Method;
 
 use crate::harness::{Caller, DOCUMENT, FLEET_KEY, Fleet, Plan, Reply, wait_until};
 
 const PATH: &str = "diaries/appointments";
-/// Keeps the entry alive for the whole test, within the families' patience.
+/// Keeps the entry running for the whole test; shorter than the caller timeout of the default kind.
 const LONG_SERVICE_MS: u64 = 8_000;
 const NEW_FLEET_KEY: &str = "another fleet key for tests, long enough";
 
@@ -14,18 +14,17 @@
     caller.send(Method::POST, PATH, &headers, body).await
 }
 
-/// A faulty client uses the ticket of its first viewing for a second one. The
-/// answer of the first would send the family to the wrong door: it is refused,
-/// with a ticket of its own to use, through whichever node it comes.
+/// A faulty client uses the ticket of its first booking for a second one. The answer to the first
+/// would be wrong for it, so every node refuses it and gives it a new ticket.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_ticket_stands_for_its_first_request_only() {
+async fn a_ticket_is_valid_for_its_first_request_only() {
     let fleet = Fleet::start(&[Plan::new("listings", 1), Plan::new("diaries", 2)]).await;
     let ticket = fleet.caller(0).ticket(PATH, "first viewing").await;
     let first = send(&fleet.caller(0), "first viewing", &ticket).await;
     assert!(first.is_answered(), "{first:?}");
     for entry in 0..fleet.nodes.len() {
         let second = send(&fleet.caller(entry), "second viewing", &ticket).await;
-        assert_eq!(second.verdict(), "409 not-run ticket-foreign");
+        assert_eq!(second.summary(), "409 not-run ticket-foreign");
         assert!(second.ticket.is_some_and(|fresh| fresh != ticket));
         let again = send(&fleet.caller(entry), "first viewing", &ticket).await;
         assert_eq!(again.body, first.body);
@@ -34,11 +33,11 @@
     assert_eq!(fleet.starts("diaries", "first viewing").await, 1);
 }
 
-/// A booking ran and its answer was lost. Its caller sends it again to a node
-/// that is being stopped. That node takes nothing new, and cannot know of the
-/// first send: told `not-run`, the caller would book a second time.
+/// A booking ran and its answer was lost. Its caller sends it again to an entry that is stopping.
+/// The entry accepts no new calls and does not know of the first send. Guards against the answer
+/// `not-run`, after which the caller would book a second time.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stopping_entry_does_not_vouch_for_earlier_sends() {
+async fn a_stopping_entry_answers_unknown_to_a_resend() {
     let fleet = Fleet::start(&[Plan::new("listings", 2), Plan::new("diaries", 1)]).await;
     let ticket = fleet.caller(0).ticket(PATH, "viewing").await;
     assert!(
@@ -52,12 +51,12 @@
     let in_flight = tokio::spawn(async move { long.get("diaries/slots", "long").await });
     fleet.wait_for_start("diaries", "long").await;
     fleet.nodes[1].process.signal("TERM");
-    wait_until("the entry takes nothing new", || async {
+    wait_until("the entry accepts no new calls", || async {
         !fleet.nodes[1].is_ready().await
     })
     .await;
     let again = send(&stopping, "viewing", &ticket).await;
-    assert_eq!(again.verdict(), "502 unknown draining");
+    assert_eq!(again.summary(), "502 unknown draining");
     assert!(again.ticket.is_none());
     assert!(in_flight.await.unwrap().is_answered());
     assert!(
@@ -68,9 +67,9 @@
     assert_eq!(fleet.starts("diaries", "viewing").await, 1);
 }
 
-/// Families hold tickets whose home is then stopped by plan, before their first
-/// send. The successor took over all the home's tickets, also those that it had
-/// not seen: each booking runs, once, and a re-send gets the same answer.
+/// The home of some tickets is stopped before their first send. Its successor takes over all its
+/// tickets, including those that the home had not seen: each booking runs once, and a re-send gets
+/// the same answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn tickets_first_sent_after_their_home_stopped_run_once() {
     let mut fleet = Fleet::start(&[Plan::new("listings", 2), Plan::new("diaries", 2)]).await;
@@ -83,7 +82,11 @@
         let home = format!("~{}~", fleet.nodes[*position].options.id);
         tickets[0].0.contains(&home)
     };
-    let leaving = fleet.of("diaries").into_iter().find(is_home).unwrap();
+    let leaving = fleet
+        .positions_of("diaries")
+        .into_iter()
+        .find(is_home)
+        .unwrap();
     fleet.nodes[leaving].process.signal("TERM");
     assert_eq!(fleet.nodes[leaving].process.exit_code().await, Some(0));
     for (ticket, marker) in &tickets {
@@ -95,10 +98,10 @@
     }
 }
 
-/// Operators change the fleet key node by node: first every node accepts the
-/// new one, then signs with it, then drops the old one. At each step nodes with
-/// different keys speak to each other and bookings go on. A ticket that has
-/// outlived its key may have run, so it is `unknown` and not `not-run`.
+/// The fleet key is changed node by node: first every node accepts the new key, then signs with it,
+/// then stops accepting the old one. At each step nodes with different keys communicate and
+/// bookings are answered. A booking whose ticket is signed with the removed key may have run, so
+/// its outcome is `unknown` and not `not-run`.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_fleet_key_is_changed_node_by_node() {
     let mut fleet = Fleet::start(&[Plan::new("listings", 1), Plan::new("diaries", 1)]).await;
@@ -125,15 +128,15 @@
         }
     }
     let late = send(&fleet.caller(0), "before", &old_ticket).await;
-    assert_eq!(late.verdict(), "409 unknown ticket-foreign");
+    assert_eq!(late.summary(), "409 unknown ticket-foreign");
 }
 
-/// Two bookings ran and their answers were lost. Then operators lower the limit
-/// on bodies and drop a kind of caller, and both are sent again. A node that
-/// refuses them by its present configuration cannot know of the first sends:
-/// told `not-run`, the callers would book a second time.
+/// Two bookings ran and their answers were lost. Operators then lower the body limit and remove a
+/// caller kind, and both bookings are sent again. A node that refuses them by its present
+/// configuration does not know of the first sends. Guards against the answer `not-run`, after which
+/// the callers would book a second time.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_changed_configuration_does_not_vouch_for_earlier_sends() {
+async fn a_resend_refused_by_a_changed_configuration_is_unknown() {
     const LISTINGS: &str = "listings/viewings";
     let fleet = Fleet::start(&[Plan::new("listings", 1)]).await;
     let caller = fleet.caller(0);
@@ -161,13 +164,13 @@
     assert_eq!(applied.exit_code, 0, "{applied:?}");
     wait_until("the lower limit is in force", || async {
         let unticketed = caller.send(Method::POST, LISTINGS, &[], &long_body).await;
-        unticketed.verdict() == "413 not-run body-too-large"
+        unticketed.summary() == "413 not-run body-too-large"
     })
     .await;
     let again = send_large(&large).await;
-    assert_eq!(again.verdict(), "413 unknown body-too-large");
+    assert_eq!(again.summary(), "413 unknown body-too-large");
     assert!(again.ticket.is_none());
     let again = caller.send(Method::POST, LISTINGS, &kiosk, "").await;
-    assert_eq!(again.verdict(), "400 unknown malformed-request");
+    assert_eq!(again.summary(), "400 unknown malformed-request");
     assert!(again.ticket.is_none());
 }
--- a/crates/hemlocktack-node/tests/processes/upstream_reports.rs
+++ b/crates/hemlocktack-node/tests/processes/upstream_reports.rs
@@ -1,4 +1,4 @@
-//! What an upstream says of itself between its calls: true, late, or false.
+//! Wrong load reports and missing announcements of an upstream.
 
 use futures::future::join_all;
 use hemlocktack_testkit::upstream::Switches;
@@ -8,7 +8,7 @@
 const SLOTS: usize = 2;
 
 async fn one_slow_upstream() -> Fleet {
-    let plan = Plan::new("diaries", 1).with(&["--slots", "2"]);
+    let plan = Plan::new("diaries", 1).with_upstream_flags(&["--slots", "2"]);
     Fleet::start(&[plan]).await
 }
 
@@ -17,8 +17,8 @@
     join_all(calls).await
 }
 
-/// The load endpoint says "full" all the time. It is a hint: callers are
-/// answered as before, and the limit does not fall for it.
+/// The load endpoint always reports a full upstream. The report is only a hint: it does not lower
+/// the concurrency limit, and callers are answered.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_upstream_that_reports_too_much_still_gets_calls() {
     let fleet = one_slow_upstream().await;
@@ -27,14 +27,14 @@
         reported_in_flight: Some(1_000),
         ..Switches::default()
     };
-    upstream.set(reports_full).await;
+    upstream.set_switches(reports_full).await;
     wait_for_reports(&fleet).await;
     let replies = burst(&fleet.caller(0), 3 * SLOTS).await;
     assert!(replies.iter().all(Reply::is_answered), "{replies:#?}");
 }
 
-/// The load endpoint says "idle" while the upstream is full and sheds whatever
-/// comes on top. The node counts for itself: nothing on top ever comes.
+/// The load endpoint reports an idle upstream while it is full and sheds any further call. The node
+/// counts its calls itself and sends no more than the upstream has slots.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_upstream_that_reports_too_little_is_not_flooded() {
     let fleet = one_slow_upstream().await;
@@ -45,16 +45,16 @@
         service_time_ms: 50,
         ..Switches::default()
     };
-    upstream.set(reports_idle).await;
+    upstream.set_switches(reports_idle).await;
     wait_for_reports(&fleet).await;
     let replies = burst(&fleet.caller(0), 4 * SLOTS).await;
     assert!(replies.iter().any(Reply::is_answered), "{replies:#?}");
     assert_eq!(upstream.counts().await.shed, 0);
 }
 
-/// An upstream stops announcing itself without a word. Callers are refused as
-/// not run once the announcement has lapsed, also those whose ticket names the
-/// node beside it, and answered when it is back.
+/// An upstream stops announcing itself. Once the announcement has expired, calls are refused as
+/// `not-run`, including a booking whose ticket has this node as its home; they are answered when
+/// the upstream announces itself again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_silent_upstream_gets_no_calls_until_it_announces_itself() {
     let fleet = one_slow_upstream().await;
@@ -65,27 +65,27 @@
         announce: false,
         ..Switches::default()
     };
-    upstream.set(silent).await;
-    wait_until("the announcement has lapsed", || async {
+    upstream.set_switches(silent).await;
+    wait_until("the announcement has expired", || async {
         caller.get("diaries/slots", "lapse").await.reason == "no-upstream"
     })
     .await;
     let starts_before = upstream.counts().await.all_starts();
     let replies = burst(&caller, 5).await;
-    let is_refused = |reply: &Reply| reply.verdict() == "503 not-run no-upstream";
+    let is_refused = |reply: &Reply| reply.summary() == "503 not-run no-upstream";
     assert!(replies.iter().all(is_refused), "{replies:#?}");
     let booking = caller.post_with("diaries/appointments", "booking", &ticket);
     let booking = booking.await;
     assert!(is_refused(&booking), "{booking:?}");
     assert_eq!(upstream.counts().await.all_starts(), starts_before);
-    upstream.set(Switches::default()).await;
-    wait_until("it is back", || async {
+    upstream.set_switches(Switches::default()).await;
+    wait_until("the upstream is back", || async {
         caller.get("diaries/slots", "back").await.is_answered()
     })
     .await;
 }
 
-/// The second report after now was asked for after the first had been read.
+/// Waits for two more reports: the node requests the second one after it has read the first.
 async fn wait_for_reports(fleet: &Fleet) {
     let upstream = &fleet.nodes[0].upstream;
     let before = upstream.counts().await.load_reports;
--- a/crates/hemlocktack-node/tests/processes/whole_answers.rs
+++ b/crates/hemlocktack-node/tests/processes/whole_answers.rs
@@ -1,4 +1,4 @@
-//! Every caller gets the whole answer to its own request, or none.
+//! Answers are neither truncated nor mixed up when upstreams fail.
 
 use hemlocktack_testkit::upstream::{Fault, Switches};
 
@@ -6,13 +6,12 @@
 
 const CALLERS: usize = 12;
 const REQUESTS: usize = 25;
-/// Of successive requests, as queries.
+/// Query parameters of successive requests that select the fault.
 const FAULTS: [&str; 5] = ["&fault=short-body", "", "", "&fault=no-answer", ""];
 
-/// Many callers ask at once through every node, for answers of different
-/// lengths; the upstreams close some connections in the middle of an answer and
-/// some before it. Each caller gets its own answer whole, or hears that there
-/// is none.
+/// Many concurrent callers request answers of different lengths through every node, and upstreams
+/// close some connections before or during an answer. Each caller gets its own answer whole, or is
+/// told that there is none.
 #[tokio::test(flavor = "multi_thread")]
 async fn answers_are_neither_cut_nor_mixed_up() {
     let fleet = Fleet::start(&[Plan::new("listings", 2), Plan::new("diaries", 2)]).await;
@@ -32,7 +31,7 @@
                     assert_ne!(reply.outcome, "cut", "{reply:?}");
                     continue;
                 }
-                assert!(reply.is_answered(), "{marker}: {}", reply.verdict());
+                assert!(reply.is_answered(), "{marker}: {}", reply.summary());
                 assert_eq!(reply.body["marker"], marker);
                 let length = reply.body["padding"].as_str().unwrap().len();
                 assert_eq!(length, padding);
@@ -44,8 +43,8 @@
     }
 }
 
-/// The upstream stops in the middle of an answer and keeps the connection
-/// open. The caller hears `unknown` when its patience is over, not a part.
+/// The upstream stalls during an answer and keeps the connection open. The caller is told `unknown`
+/// after its timeout and gets no partial answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stalled_answer_is_unknown() {
     let fleet = Fleet::start(&[Plan::new("listings", 1), Plan::new("diaries", 1)]).await;
@@ -54,7 +53,7 @@
         fault_markers: vec!["stalled".to_owned()],
         ..Switches::default()
     };
-    fleet.nodes[1].upstream.set(switches).await;
+    fleet.nodes[1].upstream.set_switches(switches).await;
     let headers = [
         ("x-marker", "stalled"),
         ("hemlocktack-caller-kind", "kiosk"),
@@ -69,8 +68,8 @@
     assert_eq!(next.body["marker"], "next");
 }
 
-/// The upstream answers with an error of its own and says when to come back.
-/// That is its whole answer: status, body and headers are the caller's.
+/// The upstream answers with an error and a `Retry-After`. Its status, body and headers are passed
+/// to the caller unchanged.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_upstreams_error_is_its_answer() {
     let fleet = Fleet::start(&[Plan::new("listings", 1), Plan::new("diaries", 1)]).await;
--- a/crates/hemlocktack-node/tests/settings.rs
+++ b/crates/hemlocktack-node/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of `hemlocktackd`, as an operator gives them.
+//! Settings of `hemlocktackd` from flags, environment variables and a settings file.
 
 mod support;
 
@@ -36,10 +36,10 @@
     assert_eq!(output.status.code(), Some(0), "{output:?}");
 }
 
-/// An operator gets five settings wrong. Told one at a time, the start would
-/// have to be tried six times; and a key must not end up in a log.
+/// An operator gets five settings wrong. Reported one at a time, they would cost six attempts to
+/// start. A key must not end up in a log.
 #[test]
-fn all_faults_are_told_at_once_and_no_secret() {
+fn all_faults_are_reported_at_once_without_secrets() {
     let mut arguments = COMPLETE.to_vec();
     arguments.extend(["--check", "stray"]);
     arguments[5] = "--link-address=nowhere";
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn nothing_given_names_all_that_is_required() {
+fn a_start_without_settings_lists_all_required_ones() {
     let output = run(&[], &[]);
     assert_eq!(output.status.code(), Some(2), "{output:?}");
     assert_eq!(standard_error(&output).lines().count(), COMPLETE.len());
@@ -75,7 +75,7 @@
     format!("--settings-file={}", file.path().display())
 }
 
-/// A deployment fills one file in, and no variable of it is set.
+/// A deployment provides all settings in one file and sets no environment variable.
 #[test]
 fn all_settings_may_come_from_a_file() {
     let as_line = |flag: &&str| {
@@ -92,9 +92,9 @@
     assert_eq!(output.status.code(), Some(0), "{output:?}");
 }
 
-/// The place where a value was given by hand goes before the file.
+/// A value given by hand overrides the file.
 #[test]
-fn flags_and_the_environment_go_before_the_file() {
+fn flags_and_the_environment_override_the_file() {
     let file = settings_file("HEMLOCKTACK_NODE=not a name\nHEMLOCKTACK_REGION=nor this\n");
     let mut arguments = COMPLETE.to_vec();
     let flag = file_flag(&file);
@@ -103,24 +103,24 @@
     assert_eq!(output.status.code(), Some(0), "{output:?}");
 }
 
-/// A template was filled in badly. Each faulty line is told with its number,
-/// and what stands in it only where it is a name.
+/// Each invalid line of a file is reported with its number, and its content only where that is
+/// the name of a setting.
 #[test]
-fn faults_of_the_file_are_told_with_their_line() {
+fn faults_of_the_file_are_reported_with_their_line() {
     let file = settings_file("HEMLOCKTACK_NODE=a\nnonsense\n\nHEMLOCKTACK_NODE=b\nCOLOUR=red\n");
     let mut arguments = COMPLETE.to_vec();
     let flag = file_flag(&file);
     arguments.extend([flag.as_str(), "--check"]);
     let output = run(&arguments, &[]);
     assert_eq!(output.status.code(), Some(2), "{output:?}");
-    let told = standard_error(&output).replace(&file.path().display().to_string(), "FILE");
-    insta::assert_snapshot!(told);
+    let reported = standard_error(&output).replace(&file.path().display().to_string(), "FILE");
+    insta::assert_snapshot!(reported);
 }
 
-/// A line is written as in another format, or a line break is lost: the fleet's key
-/// stands where a name or another value is due, and whoever reads the log has it.
+/// A line in another format, or a lost line break, puts the fleet key where a name or another
+/// value is expected. Guards against logging it as the invalid name or value.
 #[test]
-fn a_secret_in_the_wrong_place_is_not_told() {
+fn a_secret_in_the_wrong_place_is_not_logged() {
     const SECRET: &str = "c2VjcmV0IG9mIGFsbCBub2Rlcw";
     let cases = [
         (":1: ", format!("HEMLOCKTACK_FLEET_KEY: {SECRET}==")),
@@ -141,8 +141,11 @@
         arguments.extend([flag.as_str(), "--check"]);
         let output = run(&arguments, &[]);
         assert_eq!(output.status.code(), Some(2), "{line}: {output:?}");
-        let told = standard_error(&output);
-        assert!(told.contains(place) && !told.contains(SECRET), "{told}");
+        let reported = standard_error(&output);
+        assert!(
+            reported.contains(place) && !reported.contains(SECRET),
+            "{reported}"
+        );
     }
 }
 
@@ -155,7 +158,8 @@
     assert!(standard_error(&output).contains("/nowhere/at/all"));
 }
 
-/// A platform may write a count as a fraction; what is no count stops the start.
+/// A platform may write a count as a fraction (`57.0`); anything that is not a count fails the
+/// start.
 #[test]
 fn a_count_may_be_written_as_a_fraction() {
     let code = |given: &str| {
@@ -168,9 +172,9 @@
     assert_eq!(["-1", "many", "NaN"].map(code), [Some(2); 3]);
 }
 
-/// Nodes leave datagrams with a longer name aside, and would never hear of this one.
+/// Nodes refuse datagrams with a longer name, so a node with such a name would never be known.
 #[test]
-fn a_name_that_no_datagram_has_room_for_is_refused() {
+fn a_name_too_long_for_a_datagram_is_refused() {
     let code = |length: usize| {
         let flag = format!("--node={}", "n".repeat(length));
         let mut arguments = COMPLETE.to_vec();
@@ -181,10 +185,10 @@
     assert_eq!([128, 129].map(code), [Some(0), Some(2)]);
 }
 
-/// The flag names a disk image by a slip. Read whole, it takes the memory that the
+/// The flag names a disk image by mistake. Reading all of it would take the memory that the
 /// upstream beside the node needs.
 #[test]
-fn a_file_that_is_no_settings_file_is_not_read_whole() {
+fn a_file_too_large_for_settings_is_not_read_whole() {
     const MEMORY_LIMIT_KIB: u64 = 4 << 20;
     let file = tempfile::NamedTempFile::new().expect("a file");
     let size_bytes = 2 * MEMORY_LIMIT_KIB * 1_024;
@@ -198,20 +202,23 @@
         .output()
         .expect("the binary runs");
     assert_eq!(output.status.code(), Some(2), "{output:?}");
-    let told = standard_error(&output);
-    assert!(told.contains("is it a settings file?"), "{told}");
+    let reported = standard_error(&output);
+    assert!(reported.contains("is it a settings file?"), "{reported}");
 }
 
-/// Whoever searches the log of a running node for the event finds its first fault
-/// only, and the rest in lines that belong to nothing.
+/// Guards against findings on lines of their own: a search of the log for the event would show
+/// only the first one.
 #[test]
-fn faults_of_a_changed_file_are_told_in_one_line() {
+fn findings_of_a_changed_file_are_logged_in_one_line() {
     let mut file = settings_file("# nothing yet\n");
     let node = RunningNode::start(&[&file_flag(&file)]);
     node.line_with("number=101");
     file.write_all(b"COLOUR=red\nnonsense\n")
         .expect("it is written");
-    let told = node.line_with("number=108");
+    let reported = node.line_with("number=108");
     let faults = [":2: 'COLOUR' is not a setting", ":3: not of the form"];
-    assert!(faults.iter().all(|fault| told.contains(fault)), "{told}");
+    assert!(
+        faults.iter().all(|fault| reported.contains(fault)),
+        "{reported}"
+    );
 }
--- a/crates/hemlocktack-node/tests/support/mod.rs
+++ b/crates/hemlocktack-node/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! One node as a process, and the lines of its log.
+//! Runs one node as a process and reads its log.
 
 use std::io::{BufRead, BufReader};
 use std::process::{Child, ChildStdout, Command, Stdio};
@@ -6,9 +6,9 @@
 use std::thread;
 use std::time::Duration;
 
-const LONGEST_WAIT: Duration = Duration::from_secs(20);
+const LINE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Settings of a node; its addresses are nowhere to listen.
+/// A complete set of settings; the ports are placeholders.
 pub(crate) const COMPLETE: [&str; 10] = [
     "--node=listings-1",
     "--service=listings",
@@ -22,26 +22,26 @@
     "--operator-token=a token for tests",
 ];
 
-/// A node that listens on free ports and ends with the test, also on a panic.
+/// A node process on free ports; killed when dropped, so also when the test panics.
 pub(crate) struct RunningNode {
     child: Child,
     lines: mpsc::Receiver<String>,
 }
 
 impl RunningNode {
-    /// Starts it with flags beside the usual ones, of which the last counts.
+    /// Starts a node with these flags; each replaces the default flag of the same name.
     pub(crate) fn start(flags: &[&str]) -> Self {
-        let is_given = |usual: &&str| {
-            let name = usual.split('=').next();
+        let is_overridden = |default: &&str| {
+            let name = default.split('=').next();
             flags.iter().any(|flag| flag.split('=').next() == name)
         };
-        let usual = COMPLETE.iter().filter(|usual| !is_given(usual));
-        let usual = usual.map(|flag| match flag.contains("-address=") {
+        let defaults = COMPLETE.iter().filter(|default| !is_overridden(default));
+        let defaults = defaults.map(|flag| match flag.contains("-address=") {
             true => format!("{}0", flag.trim_end_matches(char::is_numeric)),
             false => (*flag).to_owned(),
         });
         let mut child = Command::new(env!("CARGO_BIN_EXE_hemlocktackd"))
-            .args(usual)
+            .args(defaults)
             .args(flags)
             .env_clear()
             .stdout(Stdio::piped())
@@ -51,10 +51,10 @@
         RunningNode { child, lines }
     }
 
-    /// The next line that has this text in it.
+    /// Returns the next log line that contains the text.
     pub(crate) fn line_with(&self, text: &str) -> String {
         loop {
-            let line = self.lines.recv_timeout(LONGEST_WAIT).expect("a line");
+            let line = self.lines.recv_timeout(LINE_TIMEOUT).expect("a line");
             if line.contains(text) {
                 return line;
             }
@@ -69,7 +69,7 @@
     }
 }
 
-/// Lines of a log, read as they come.
+/// Reads the lines of a log in a thread of its own.
 fn lines_of(stdout: ChildStdout) -> mpsc::Receiver<String> {
     let (sender, receiver) = mpsc::channel();
     thread::spawn(move || {
