--- a/crates/hemlocktack-node/examples/call_cost/echo.rs
+++ b/crates/hemlocktack-node/examples/call_cost/echo.rs
@@ -1,7 +1,7 @@
-//! An upstream that answers at once with what it got.
+//! An upstream that immediately answers with the body of the request.
 //!
-//! The stand-in of the testkit waits on a timer of a millisecond's grain, which
-//! would hide what is measured here.
+//! The testkit stand-in waits on a timer with a resolution of a millisecond, which would hide the
+//! cost that is measured here.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 
 use crate::common::Result;
 
-const RENEW_EVERY: Duration = Duration::from_millis(900);
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(900);
 const BODY_LIMIT_MIB: u64 = 1;
 
 /// Starts it on a free port and announces it to its node.
@@ -46,8 +46,8 @@
     );
     let address = listening.await?;
     tokio::spawn(announce(address, node_control));
-    // The node counts what it is told last; one renewal is enough to be known.
-    tokio::time::sleep(2 * RENEW_EVERY).await;
+    // The node uses the latest announcement; it has received one after two intervals.
+    tokio::time::sleep(2 * RENEWAL_INTERVAL).await;
     Ok(address)
 }
 
@@ -67,6 +67,6 @@
     loop {
         let url = format!("http://{node_control}/upstream/announce");
         let _ = client.post(url).body(body.clone()).send().await;
-        tokio::time::sleep(RENEW_EVERY).await;
+        tokio::time::sleep(RENEWAL_INTERVAL).await;
     }
 }
--- a/crates/hemlocktack-node/examples/call_cost/main.rs
+++ b/crates/hemlocktack-node/examples/call_cost/main.rs
@@ -1,5 +1,5 @@
-//! What the two node hops add to a call: direct against through the nodes, in
-//! one run, alternating, so that both meet the same machine.
+//! Measures the cost that two node hops add to a call. Direct calls and calls through the nodes
+//! alternate in one run, so that both see the same state of the machine.
 //!
 //! `cargo run --release -p hemlocktack-node --example call_cost [-- --calls N]`
 
@@ -19,9 +19,13 @@
 const USAGE_EXIT_CODE: u8 = 2;
 const DEFAULT_CALLS: usize = 4000;
 const BODY_BYTES: [usize; 2] = [1 << 10, 16 << 10];
-/// Calls a second of one node at the aim: 210,000 over 560 nodes.
-const AIMED_CALLS_PER_S_A_NODE: u32 = 375;
-const RATES_PER_S: [u32; 3] = [0, AIMED_CALLS_PER_S_A_NODE, 8 * AIMED_CALLS_PER_S_A_NODE];
+/// Calls per second of one node at the target load: 210,000 over 560 nodes.
+const TARGET_CALLS_PER_S_PER_NODE: u32 = 375;
+const RATES_PER_S: [u32; 3] = [
+    0,
+    TARGET_CALLS_PER_S_PER_NODE,
+    8 * TARGET_CALLS_PER_S_PER_NODE,
+];
 
 const MEMBERS: [Member; 2] = [
     Member {
@@ -29,14 +33,14 @@
         data_centre: "salt-lake",
         slots: 64,
         service_time_ms: 1,
-        deeper: None,
+        child_call: None,
     },
     Member {
         service: "back",
         data_centre: "salt-lake",
         slots: 64,
         service_time_ms: 1,
-        deeper: None,
+        child_call: None,
     },
 ];
 
@@ -60,7 +64,7 @@
 
 fn read_calls() -> std::result::Result<usize, String> {
     let mut options = Options::new();
-    options.optopt("", "calls", "calls measured in each cell", "N");
+    options.optopt("", "calls", "number of calls per cell and path", "N");
     let matches = options
         .parse(std::env::args().skip(1))
         .map_err(|error| error.to_string())?;
@@ -88,7 +92,9 @@
     let echo_address = echo::start(back.control_address).await?;
     let through_url = format!("http://{entry}/back/echo");
     let direct_url = format!("http://{echo_address}/echo");
-    println!("{calls} calls a cell; times in microseconds; added = through both nodes less direct");
+    println!(
+        "{calls} calls per cell and path; times in microseconds; added = through both nodes minus direct"
+    );
     println!("{}", Comparison::heading());
     for rate_per_s in RATES_PER_S {
         let background = Background::start(&through_url, rate_per_s);
--- a/crates/hemlocktack-node/examples/call_cost/measure.rs
+++ b/crates/hemlocktack-node/examples/call_cost/measure.rs
@@ -1,4 +1,4 @@
-//! Direct and through the nodes, alternating.
+//! Measures direct calls and calls through the nodes in alternation.
 
 use std::time::{Duration, Instant};
 
@@ -9,29 +9,29 @@
 use crate::common::Result;
 
 const WARM_UP_CALLS: usize = 200;
-/// Calls are sent in turns of this many, so that a slow moment of the machine
-/// falls on both ways.
-const TURN_CALLS: usize = 50;
-/// Unit of the processor times in `/proc/self/stat`.
+/// Number of calls before the path changes; small enough that a slow period of the machine affects
+/// both paths.
+const CALLS_PER_TURN: usize = 50;
+/// Unit of the CPU times in `/proc/self/stat`.
 const CPU_TICK_US: u64 = 10_000;
-const HIGHEST_US: u64 = 10_000_000;
+const MAX_TIME_US: u64 = 10_000_000;
 
-/// Figures of one cell.
+/// Measurements of both paths in one cell.
 pub(crate) struct Comparison {
-    direct: Way,
-    through: Way,
+    direct: PathMeasurement,
+    through: PathMeasurement,
 }
 
-/// Figures of one way.
-struct Way {
+/// Measurements of one path.
+struct PathMeasurement {
     times_us: Histogram<u64>,
     cpu_us: u64,
 }
 
-impl Way {
+impl PathMeasurement {
     fn new() -> Result<Self> {
         Ok(Self {
-            times_us: Histogram::new_with_bounds(1, HIGHEST_US, 3)?,
+            times_us: Histogram::new_with_bounds(1, MAX_TIME_US, 3)?,
             cpu_us: 0,
         })
     }
@@ -40,7 +40,7 @@
         self.times_us.value_at_quantile(quantile) as i64
     }
 
-    fn cpu_us_a_call(&self) -> i64 {
+    fn cpu_us_per_call(&self) -> i64 {
         (self.cpu_us / self.times_us.len().max(1)) as i64
     }
 }
@@ -78,17 +78,18 @@
 }
 
 impl Comparison {
-    /// Beside other calls the process' time is theirs as well.
+    /// CPU time that the nodes add per call; `-` with background load, which uses CPU time of the
+    /// same process.
     fn added_cpu(&self, rate_per_s: u32) -> String {
         if rate_per_s > 0 {
             return "-".to_owned();
         }
-        let added_us = self.through.cpu_us_a_call() - self.direct.cpu_us_a_call();
+        let added_us = self.through.cpu_us_per_call() - self.direct.cpu_us_per_call();
         added_us.to_string()
     }
 }
 
-/// Sends `calls` calls each way over one kept-alive connection each.
+/// Sends at least `calls` calls on each path, over one keep-alive connection each.
 pub(crate) async fn compare(
     direct_url: &str,
     through_url: &str,
@@ -97,19 +98,19 @@
 ) -> Result<Comparison> {
     let client = Client::builder().no_proxy().tcp_nodelay(true).build()?;
     let body = vec![b'x'; body_bytes];
-    let mut warm_up = Way::new()?;
+    let mut warm_up = PathMeasurement::new()?;
     send_turn(&client, direct_url, &body, WARM_UP_CALLS, &mut warm_up).await?;
     send_turn(&client, through_url, &body, WARM_UP_CALLS, &mut warm_up).await?;
     let mut comparison = Comparison {
-        direct: Way::new()?,
-        through: Way::new()?,
+        direct: PathMeasurement::new()?,
+        through: PathMeasurement::new()?,
     };
-    for _ in 0..calls.div_ceil(TURN_CALLS) {
+    for _ in 0..calls.div_ceil(CALLS_PER_TURN) {
         send_turn(
             &client,
             direct_url,
             &body,
-            TURN_CALLS,
+            CALLS_PER_TURN,
             &mut comparison.direct,
         )
         .await?;
@@ -117,7 +118,7 @@
             &client,
             through_url,
             &body,
-            TURN_CALLS,
+            CALLS_PER_TURN,
             &mut comparison.through,
         )
         .await?;
@@ -130,7 +131,7 @@
     url: &str,
     body: &[u8],
     calls: usize,
-    way: &mut Way,
+    measurement: &mut PathMeasurement,
 ) -> Result<()> {
     let cpu_before_us = process_cpu_us()?;
     for _ in 0..calls {
@@ -139,17 +140,19 @@
         if !answer.status().is_success() {
             return Err(format!("a call was not answered: {:?}", answer.headers()).into());
         }
-        let whole = answer.bytes().await?;
-        way.times_us.record(began.elapsed().as_micros() as u64)?;
-        if whole.len() != body.len() {
-            return Err("an answer is not whole".into());
+        let received = answer.bytes().await?;
+        measurement
+            .times_us
+            .record(began.elapsed().as_micros() as u64)?;
+        if received.len() != body.len() {
+            return Err("an answer is incomplete".into());
         }
     }
-    way.cpu_us += process_cpu_us()? - cpu_before_us;
+    measurement.cpu_us += process_cpu_us()? - cpu_before_us;
     Ok(())
 }
 
-/// Processor time of the whole process, which holds nodes, caller and upstream.
+/// CPU time of the whole process, which includes nodes, caller and upstream.
 fn process_cpu_us() -> Result<u64> {
     let stat = std::fs::read_to_string("/proc/self/stat")?;
     let after_name = stat.rsplit(')').next().unwrap_or_default();
@@ -158,7 +161,7 @@
     Ok(ticks * CPU_TICK_US)
 }
 
-/// Other calls through the nodes while a cell is measured.
+/// Background load through the nodes while a cell is measured.
 pub(crate) struct Background {
     task: JoinHandle<()>,
 }
--- a/crates/hemlocktack-node/examples/common/mod.rs
+++ b/crates/hemlocktack-node/examples/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small fleet in one process: platform stand-in, upstreams, a node beside each.
+//! A small fleet in one process: a platform stand-in, and instances of an upstream and a node.
 
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::time::{Duration, Instant};
@@ -10,37 +10,37 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// Result of the examples' parts.
+/// Result type of the examples.
 pub(crate) type Result<T> = std::result::Result<T, Box<dyn std::error::Error + Send + Sync>>;
 
 const FLEET_KEY: &str = "a fleet key for examples, no secret";
 const OPERATOR_TOKEN: &str = "an operator token for examples";
-const READY_WITHIN: Duration = Duration::from_secs(15);
-const READY_POLL: Duration = Duration::from_millis(50);
+const READY_TIMEOUT: Duration = Duration::from_secs(15);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 const LOOPBACK: [u8; 4] = [127, 0, 0, 1];
 
-/// One upstream and its place in the call graph.
+/// One upstream and its child call.
 pub(crate) struct Member {
     pub(crate) service: &'static str,
     pub(crate) data_centre: &'static str,
     pub(crate) slots: u32,
     pub(crate) service_time_ms: u64,
-    /// Call made for each call, such as `GET diaries/slots`.
-    pub(crate) deeper: Option<&'static str>,
+    /// Child call that the upstream makes for each call, such as `GET diaries/slots`.
+    pub(crate) child_call: Option<&'static str>,
 }
 
-/// Addresses of one running node and its upstream.
+/// One running node and its upstream.
 pub(crate) struct RunningNode {
     pub(crate) caller_address: SocketAddr,
     pub(crate) control_address: SocketAddr,
-    #[allow(dead_code, reason = "not every example looks at it")]
+    #[allow(dead_code, reason = "not every example uses it")]
     pub(crate) upstream: Upstream,
     task: JoinHandle<std::result::Result<(), String>>,
 }
 
-/// The whole fleet; stops gracefully with [`Fleet::stop`].
+/// A running fleet; [`Fleet::stop`] stops it gracefully.
 pub(crate) struct Fleet {
-    #[allow(dead_code, reason = "not every example looks at it")]
+    #[allow(dead_code, reason = "not every example uses it")]
     pub(crate) platform: Platform,
     pub(crate) nodes: Vec<RunningNode>,
     stop: watch::Sender<bool>,
@@ -72,7 +72,7 @@
         Ok(fleet)
     }
 
-    /// Stores a first configuration through a node, as an operator does.
+    /// Stores the first configuration through a node, as an operator does.
     async fn apply(&self, document: &str) -> Result<()> {
         let request = ApplyConfigurationRequest {
             document: document.to_owned(),
@@ -82,7 +82,7 @@
         };
         let control_address = self.nodes[0].control_address;
         let url = format!("http://{control_address}/hemlocktack.v1.Operators/ApplyConfiguration");
-        let deadline = Instant::now() + READY_WITHIN;
+        let deadline = Instant::now() + READY_TIMEOUT;
         loop {
             let sent = reqwest::Client::new()
                 .post(&url)
@@ -98,29 +98,29 @@
                 }
                 Ok(answer) if Instant::now() > deadline => return Err(answer.text().await?.into()),
                 Err(error) if Instant::now() > deadline => return Err(error.into()),
-                _ => tokio::time::sleep(READY_POLL).await,
+                _ => tokio::time::sleep(POLL_INTERVAL).await,
             }
         }
     }
 
-    /// Ready means that each node can place calls on every service.
+    /// Waits until a call through each node is answered by every service.
     async fn wait_until_ready(&self, members: &[Member]) -> Result<()> {
-        let deadline = Instant::now() + READY_WITHIN;
+        let deadline = Instant::now() + READY_TIMEOUT;
         for node in &self.nodes {
             for member in members {
                 let url = format!("http://{}/{}/ready", node.caller_address, member.service);
-                while !answers(&url).await {
+                while !is_answered(&url).await {
                     if Instant::now() > deadline {
                         return Err(format!("no answer from {url}").into());
                     }
-                    tokio::time::sleep(READY_POLL).await;
+                    tokio::time::sleep(POLL_INTERVAL).await;
                 }
             }
         }
         Ok(())
     }
 
-    /// Planned stop of all nodes.
+    /// Stops all nodes gracefully.
     pub(crate) async fn stop(self) -> Result<()> {
         self.stop.send_replace(true);
         for node in self.nodes {
@@ -130,7 +130,7 @@
     }
 }
 
-async fn answers(url: &str) -> bool {
+async fn is_answered(url: &str) -> bool {
     match reqwest::get(url).await {
         Ok(answer) => answer
             .headers()
@@ -195,16 +195,16 @@
     settings.slots = member.slots;
     settings.connections = member.slots * 8;
     settings.switches.service_time_ms = member.service_time_ms;
-    if let Some(deeper) = member.deeper {
-        let call: ChildCall = deeper
+    if let Some(child_call) = member.child_call {
+        let call: ChildCall = child_call
             .parse()
-            .map_err(|error| format!("{deeper}: {error}"))?;
+            .map_err(|error| format!("{child_call}: {error}"))?;
         settings.child_calls.push(call);
     }
     Ok(upstream::spawn(settings).await?)
 }
 
-/// A port that was free a moment ago, for TCP and UDP.
+/// Returns an address whose port is free for TCP and UDP; another process may still take it.
 fn free_address() -> Result<SocketAddr> {
     loop {
         let listener = TcpListener::bind(SocketAddr::from((LOOPBACK, 0)))?;
--- a/crates/hemlocktack-node/examples/control_cost/cost.rs
+++ b/crates/hemlocktack-node/examples/control_cost/cost.rs
@@ -1,4 +1,4 @@
-//! Cost of one phase, per node, and its slope against the number of nodes.
+//! Cost of a phase per node, and its slope over the number of nodes.
 
 use std::collections::BTreeMap;
 
@@ -6,29 +6,29 @@
 
 use crate::sample::Scrape;
 
-/// Means over all nodes that ran through the whole phase.
+/// Means over all nodes that ran during the whole phase.
 pub(crate) struct Cost {
     pub(crate) phase: &'static str,
     pub(crate) nodes: usize,
-    /// By name: percent of a core, megabytes, bytes a second, calls a second.
-    pub(crate) figures: BTreeMap<String, f64>,
+    /// Value by name: percent of a core, megabytes, bytes per second or calls per second.
+    pub(crate) values: BTreeMap<String, f64>,
 }
 
-/// Compares what the nodes showed before and after a phase.
+/// Computes the cost of a phase from the scrapes before and after it.
 pub(crate) fn cost(
     phase: &'static str,
     before: &[Scrape],
     after: &[Scrape],
     platform: (Counts, Counts),
 ) -> Cost {
-    let mut figures = BTreeMap::new();
+    let mut values = BTreeMap::new();
     let pairs: Vec<_> = before
         .iter()
         .zip(after)
         .filter(|(before, after)| before.process_id == after.process_id)
         .collect();
     let count = pairs.len().max(1) as f64;
-    let mut add = |name: &str, value: f64| *figures.entry(name.to_owned()).or_insert(0.0) += value;
+    let mut add = |name: &str, value: f64| *values.entry(name.to_owned()).or_insert(0.0) += value;
     let mut seconds = 0.0;
     for (before, after) in pairs {
         seconds = after.at.duration_since(before.at).as_secs_f64();
@@ -52,7 +52,7 @@
     Cost {
         phase,
         nodes: after.len(),
-        figures,
+        values,
     }
 }
 
@@ -62,23 +62,23 @@
     labels.join("-")
 }
 
-/// Least-squares line through the figures of one name in one phase.
+/// Least-squares line through the values of one name in one phase.
 pub(crate) struct Line {
     pub(crate) at_zero: f64,
     pub(crate) per_node: f64,
 }
 
-/// Fits a line; `None` with fewer than two sizes.
+/// Fits a line; `None` with fewer than two different sizes.
 pub(crate) fn line(points: &[(f64, f64)]) -> Option<Line> {
     let count = points.len() as f64;
     let mean = |value: fn(&(f64, f64)) -> f64| points.iter().map(value).sum::<f64>() / count;
     let (mean_x, mean_y) = (mean(|point| point.0), mean(|point| point.1));
-    let spread: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
-    if points.len() < 2 || spread == 0.0 {
+    let square_sum: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
+    if points.len() < 2 || square_sum == 0.0 {
         return None;
     }
-    let joint = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y));
-    let per_node = joint.sum::<f64>() / spread;
+    let products = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y));
+    let per_node = products.sum::<f64>() / square_sum;
     Some(Line {
         at_zero: mean_y - per_node * mean_x,
         per_node,
--- a/crates/hemlocktack-node/examples/control_cost/fleet.rs
+++ b/crates/hemlocktack-node/examples/control_cost/fleet.rs
@@ -1,5 +1,5 @@
-//! Nodes as separate processes, so that each one's processor time and memory
-//! can be read; the platform and the upstreams' announcements are stand-ins.
+//! A fleet whose nodes are separate processes, so that the CPU time and memory of each can be read.
+//! The platform is a stand-in, and the upstreams only announce themselves.
 
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::path::PathBuf;
@@ -14,22 +14,22 @@
 
 use crate::sample::{Scrape, scrape};
 
-/// Result of the example's parts.
+/// Result type of the example.
 pub(crate) type Result<T> = std::result::Result<T, Box<dyn std::error::Error + Send + Sync>>;
 
 const FLEET_KEY: &str = "a fleet key for examples, no secret";
 const OPERATOR_TOKEN: &str = "an operator token for examples";
 const DATA_CENTRES: usize = 4;
-const NODES_A_SERVICE: usize = 6;
+const NODES_PER_SERVICE: usize = 6;
 const FIRST_PORT: u16 = 21_000;
 const LAST_PORT: u16 = 32_000;
 const LOOPBACK: [u8; 4] = [127, 0, 0, 1];
 const ANNOUNCE_PERIOD: Duration = Duration::from_secs(1);
-const POLL: Duration = Duration::from_millis(20);
-/// Longest wait for anything that the fleet should come to.
-const PATIENCE: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Timeout for any state that the fleet should reach.
+const STATE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// One node's process and its addresses, the same over restarts.
+/// A node process and its addresses, which stay the same over restarts.
 pub(crate) struct Node {
     number: usize,
     caller: SocketAddr,
@@ -54,7 +54,7 @@
     fn drop(&mut self) {
         self.announcing.abort();
         for node in &mut self.nodes {
-            // Ended already, or ended now: nothing of the run is left behind.
+            // Fails if the process has ended already.
             let _ = node.process.kill();
             let _ = node.process.wait();
         }
@@ -98,7 +98,7 @@
         Ok(fleet)
     }
 
-    /// Stores a change through one node; the document differs in a comment.
+    /// Stores a document that differs in a comment through one node; returns its generation.
     pub(crate) async fn apply(&mut self) -> Result<u64> {
         let request = ApplyConfigurationRequest {
             document: format!("{}\n# change {}\n", self.document, self.generation),
@@ -107,7 +107,7 @@
             author: "control_cost".to_owned(),
         };
         let number = self.generation as usize % self.nodes.len();
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + STATE_TIMEOUT;
         while !self
             .command(number, "ApplyConfiguration", request.encode_to_vec())
             .await
@@ -115,7 +115,7 @@
             if Instant::now() > deadline {
                 return Err("the change was not accepted".into());
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         self.generation += 1;
         Ok(self.generation)
@@ -130,13 +130,13 @@
         answer.is_ok_and(|answer| answer.status().is_success())
     }
 
-    /// Time until every node has the generation in force.
+    /// Waits until the generation is active on every node; returns the time taken.
     pub(crate) async fn wait_until_in_force(&self, generation: u64) -> Result<Duration> {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let wanted = generation as f64;
         self.wait_for(|scrape| scrape.value("hemlocktack_configuration_generation") >= wanted)
             .await?;
-        Ok(begun.elapsed())
+        Ok(started_at.elapsed())
     }
 
     pub(crate) async fn wait_until_joined(&self) -> Result<()> {
@@ -145,24 +145,26 @@
         self.wait_for(|scrape| scrape.value(ready) >= wanted).await
     }
 
-    async fn wait_for(&self, is_there: impl Fn(&Scrape) -> bool) -> Result<()> {
-        let deadline = Instant::now() + PATIENCE;
+    async fn wait_for(&self, is_reached: impl Fn(&Scrape) -> bool) -> Result<()> {
+        let deadline = Instant::now() + STATE_TIMEOUT;
         for node in &self.nodes {
             loop {
                 let scraped = scrape(&self.http, node.control).await;
-                if scraped.is_some_and(|scraped| is_there(&scraped)) {
+                if scraped.is_some_and(|scraped| is_reached(&scraped)) {
                     break;
                 }
                 if Instant::now() > deadline {
-                    return Err(format!("node {} does not come to it", node.number).into());
+                    return Err(
+                        format!("node {} does not reach the expected state", node.number).into(),
+                    );
                 }
-                tokio::time::sleep(POLL).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
     }
 
-    /// A planned stop of one node and a new start in its place.
+    /// Drains a node and starts it again at the same addresses.
     pub(crate) async fn restart(&mut self, number: usize) -> Result<()> {
         let request = DrainNodeRequest {
             node_id: node_id(number),
@@ -173,12 +175,12 @@
         {
             return Err("the drain was not accepted".into());
         }
-        let deadline = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + STATE_TIMEOUT;
         while self.nodes[number].process.try_wait()?.is_none() {
             if Instant::now() > deadline {
-                return Err("a drained node does not end".into());
+                return Err("a drained node does not exit".into());
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         let node = &mut self.nodes[number];
         let addresses = [node.caller, node.control, node.link, node.gossip];
@@ -186,12 +188,12 @@
         Ok(())
     }
 
-    /// What every node shows and has used so far.
+    /// Reads the metrics of every node and the resource usage of its process.
     pub(crate) async fn scrape_all(&self) -> Result<Vec<Scrape>> {
         let mut scrapes = Vec::new();
         for node in &self.nodes {
             let scraped = scrape(&self.http, node.control).await;
-            let mut scraped = scraped.ok_or("a node does not show its metrics")?;
+            let mut scraped = scraped.ok_or("a node does not answer with its metrics")?;
             scraped.read_process(node.process.id())?;
             scrapes.push(scraped);
         }
@@ -211,7 +213,7 @@
 ) -> Result<Child> {
     let flags = [
         ("node", node_id(number)),
-        ("service", format!("service-{}", number / NODES_A_SERVICE)),
+        ("service", format!("service-{}", number / NODES_PER_SERVICE)),
         (
             "data-centre",
             format!("data-centre-{}", number % DATA_CENTRES),
@@ -246,7 +248,7 @@
     }
 }
 
-/// The upstreams' part: they announce themselves every second.
+/// Announces an upstream to each node every second.
 async fn announce(http: reqwest::Client, controls: Vec<SocketAddr>) {
     let body = r#"{"address": "127.0.0.1:9", "slots": 45, "connections": 360}"#;
     let mut ticks = tokio::time::interval(ANNOUNCE_PERIOD);
@@ -254,15 +256,14 @@
         ticks.tick().await;
         for control in &controls {
             let url = format!("http://{control}/upstream/announce");
-            // A node that is down hears the next one.
+            // A node that is down receives the next announcement.
             let _ = http.post(url).body(body).send().await;
         }
     }
 }
 
-/// Ports that were free a moment ago, for TCP and UDP. They lie below those
-/// that the system gives to outgoing connections: a node that starts again
-/// must find its ports free.
+/// Returns addresses whose ports are free for TCP and UDP. The ports lie below those that the
+/// system assigns to outgoing connections, so that they are still free when a node restarts.
 fn free_addresses() -> Result<[SocketAddr; 4]> {
     static NEXT_PORT: AtomicU16 = AtomicU16::new(FIRST_PORT);
     let mut addresses = [SocketAddr::from((LOOPBACK, 0)); 4];
--- a/crates/hemlocktack-node/examples/control_cost/main.rs
+++ b/crates/hemlocktack-node/examples/control_cost/main.rs
@@ -1,4 +1,4 @@
-//! What control costs a node, at several sizes of the fleet.
+//! Measures the cost of the control plane per node at several fleet sizes.
 //!
 //! `cargo build --release -p hemlocktack-node && cargo run --release
 //! -p hemlocktack-node --example control_cost -- --nodes 8,16,32,64 --seconds 20`
@@ -16,22 +16,22 @@
 use fleet::{Fleet, Result};
 
 const CONFIGURATION: &str = include_str!("../quickstart/quickstart.toml");
-/// Size that the slopes are carried to.
-const AIMED_NODES: f64 = 560.0;
+/// Fleet size to which the fitted lines are extrapolated.
+const TARGET_NODES: f64 = 560.0;
 const CHANGES: u32 = 10;
 const RESTARTS: usize = 4;
 
 struct Arguments {
     sizes: Vec<usize>,
     phase: Duration,
-    /// News of the start itself has been told by then.
+    /// Pause after the start, within which gossip about the start itself has ended.
     settling: Duration,
 }
 
 fn arguments() -> Result<Arguments> {
     let mut options = Options::new();
-    options.optopt("", "nodes", "sizes of the fleet (8,16,32,64)", "LIST");
-    options.optopt("", "seconds", "length of a phase (20)", "S");
+    options.optopt("", "nodes", "fleet sizes (8,16,32,64)", "LIST");
+    options.optopt("", "seconds", "duration of a phase (20)", "S");
     options.optopt("", "settling", "pause after the start (60)", "S");
     let matches = options.parse(std::env::args().skip(1))?;
     let sizes = matches.opt_str("nodes");
@@ -67,7 +67,7 @@
         costs.push(idle(&fleet, arguments.phase).await?);
         costs.push(changes(&mut fleet, arguments.phase).await?);
         costs.push(restarts(&mut fleet, arguments.phase).await?);
-        spreading(&mut fleet).await?;
+        print_propagation_times(&mut fleet).await?;
     }
     print_costs(&costs);
     Ok(())
@@ -102,11 +102,11 @@
 
 async fn restarts(fleet: &mut Fleet, phase: Duration) -> Result<Cost> {
     let (before, counts) = (fleet.scrape_all().await?, fleet.platform.counts());
-    let begun = Instant::now();
+    let started_at = Instant::now();
     for number in 0..RESTARTS {
         fleet.restart(number).await?;
     }
-    tokio::time::sleep(phase.saturating_sub(begun.elapsed())).await;
+    tokio::time::sleep(phase.saturating_sub(started_at.elapsed())).await;
     fleet.wait_until_joined().await?;
     let after = fleet.scrape_all().await?;
     Ok(cost(
@@ -117,19 +117,19 @@
     ))
 }
 
-/// Time until a change is in force everywhere; apart, since looking costs the
-/// nodes more than the change does.
-async fn spreading(fleet: &mut Fleet) -> Result<()> {
+/// Prints the time until a change is active on all nodes. It is measured separately from the other
+/// phases, since polling the nodes costs them more than the change does.
+async fn print_propagation_times(fleet: &mut Fleet) -> Result<()> {
     let mut times = Vec::new();
     for _ in 0..CHANGES {
         let generation = fleet.apply().await?;
         times.push(fleet.wait_until_in_force(generation).await?);
     }
     times.sort();
-    let (half, last) = (times[times.len() / 2], times[times.len() - 1]);
+    let (median, last) = (times[times.len() / 2], times[times.len() - 1]);
     let nodes = fleet.nodes.len();
     println!(
-        "{nodes} nodes: a change is in force everywhere after {half:.0?} (median), {last:.0?} (longest of {CHANGES})"
+        "{nodes} nodes: a change is in force everywhere after {median:.0?} (median), {last:.0?} (longest of {CHANGES})"
     );
     Ok(())
 }
@@ -143,15 +143,15 @@
         println!("\n{phase}, means per node (platform: whole fleet)");
         let sizes = of_phase.iter().map(|cost| format!("{:>9}", cost.nodes));
         let sizes: String = sizes.collect();
-        println!("{:<24}{sizes}   at {AIMED_NODES}   per 100 nodes", "nodes");
-        for name in first.figures.keys() {
+        println!("{:<24}{sizes}   at {TARGET_NODES}   per 100 nodes", "nodes");
+        for name in first.values.keys() {
             print_row(name, &of_phase);
         }
     }
 }
 
 fn print_row(name: &str, costs: &[&Cost]) {
-    let figure = |cost: &&Cost| cost.figures.get(name).copied().unwrap_or(0.0);
+    let figure = |cost: &&Cost| cost.values.get(name).copied().unwrap_or(0.0);
     let cells: String = costs
         .iter()
         .map(|cost| format!("{:>9.2}", figure(cost)))
@@ -161,8 +161,8 @@
         .map(|cost| (cost.nodes as f64, figure(cost)))
         .collect();
     let fitted = line(&points).map_or(String::new(), |line| {
-        let at_aim = line.at_zero + line.per_node * AIMED_NODES;
-        format!("{at_aim:>9.2}   {:>9.3}", line.per_node * 100.0)
+        let at_target = line.at_zero + line.per_node * TARGET_NODES;
+        format!("{at_target:>9.2}   {:>9.3}", line.per_node * 100.0)
     });
     println!("{name:<24}{cells}{fitted}");
 }
--- a/crates/hemlocktack-node/examples/control_cost/sample.rs
+++ b/crates/hemlocktack-node/examples/control_cost/sample.rs
@@ -1,4 +1,4 @@
-//! What one node shows of itself, and what its process has used.
+//! Metrics of a node and resource usage of its process.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -7,11 +7,11 @@
 
 use crate::fleet::Result;
 
-/// Ticks of the process clock a second, as Linux counts them for users.
+/// Ticks per second of the CPU times in `/proc`: `USER_HZ` of Linux.
 const CLOCK_TICKS_PER_S: f64 = 100.0;
 const PAGE_BYTES: f64 = 4096.0;
 
-/// Metrics of one node at one time.
+/// Metrics and resource usage of one node at one time.
 pub(crate) struct Scrape {
     pub(crate) at: Instant,
     values: BTreeMap<String, f64>,
@@ -25,7 +25,7 @@
         self.values.get(name).copied().unwrap_or(0.0)
     }
 
-    /// Values whose name begins so.
+    /// Values whose name begins with the prefix.
     pub(crate) fn values<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = (&'a str, f64)> {
         let named = self.values.iter();
         named
@@ -33,7 +33,7 @@
             .map(|(name, value)| (name.as_str(), *value))
     }
 
-    /// Adds what the operating system counts.
+    /// Adds CPU time and memory of the process as the operating system reports them.
     pub(crate) fn read_process(&mut self, process_id: u32) -> Result<()> {
         const USER_TICKS: usize = 11;
         const SYSTEM_TICKS: usize = 12;
--- a/crates/hemlocktack-node/examples/quickstart/load.rs
+++ b/crates/hemlocktack-node/examples/quickstart/load.rs
@@ -1,4 +1,4 @@
-//! Callers: each sends one request and, if it is refused, comes back when told.
+//! Callers: each sends one request and, if it is refused, sends it again after `Retry-After`.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -6,45 +6,45 @@
 use rand::RngExt;
 use reqwest::{Client, Response};
 
-/// A stretch of even load.
+/// A period of constant load.
 pub(crate) struct Phase {
     pub(crate) name: &'static str,
     pub(crate) rate_per_s: u32,
     pub(crate) duration: Duration,
 }
 
-/// What a caller wants.
+/// The kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Kind {
     Booking,
     Browse,
 }
 
-/// What a caller got in the end.
+/// The final outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum End {
+pub(crate) enum Outcome {
     Answered,
     Refused,
     Unknown,
 }
 
-/// One caller's request from its first send to its end.
+/// Result of a request over all its sends.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestResult {
     pub(crate) kind: Kind,
-    pub(crate) end: End,
-    /// Why, where the end is no answer.
+    pub(crate) outcome: Outcome,
+    /// Reason of an outcome other than an answer.
     pub(crate) reason: String,
-    /// Sends after the first that a refusal made necessary.
+    /// Number of sends after a refusal.
     pub(crate) resends: u32,
     pub(crate) duration: Duration,
 }
 
-/// How long a caller goes on; the example's configuration says the same.
-const PATIENCE: Duration = Duration::from_secs(2);
-const TICK: Duration = Duration::from_millis(5);
+/// Time for which a caller retries; the same as `patience_ms` in the example's configuration.
+const CALLER_TIMEOUT: Duration = Duration::from_secs(2);
+const SEND_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Sends requests at an even rate, whatever becomes of them.
+/// Sends requests at a constant rate, independently of their outcomes.
 pub(crate) async fn run_phase(
     phase: &Phase,
     booking_share: f64,
@@ -52,7 +52,7 @@
 ) -> Vec<RequestResult> {
     let client = Client::new();
     let began = Instant::now();
-    let mut ticks = tokio::time::interval(TICK);
+    let mut ticks = tokio::time::interval(SEND_INTERVAL);
     let mut callers = tokio::task::JoinSet::new();
     let mut sent = 0;
     while began.elapsed() < phase.duration {
@@ -77,16 +77,16 @@
     let mut resends = 0;
     let mut ticket = None;
     let mut reason = String::new();
-    let end = loop {
+    let outcome = loop {
         let answer = send(&client, entry, kind, ticket.as_deref()).await;
         let Ok(answer) = answer else {
-            break End::Unknown;
+            break Outcome::Unknown;
         };
         reason = header(&answer, "hemlocktack-reason").unwrap_or_default();
         match header(&answer, "hemlocktack-outcome").as_deref() {
-            Some("answered") => break End::Answered,
+            Some("answered") => break Outcome::Answered,
             Some("not-run") => {}
-            _ => break End::Unknown,
+            _ => break Outcome::Unknown,
         }
         ticket = header(&answer, "idempotency-key");
         if answer.status() == reqwest::StatusCode::PRECONDITION_REQUIRED && ticket.is_some() {
@@ -94,18 +94,18 @@
         }
         let Some(wait) = header(&answer, "retry-after").and_then(|seconds| seconds.parse().ok())
         else {
-            break End::Refused;
+            break Outcome::Refused;
         };
         let wait = Duration::from_secs(wait);
-        if began.elapsed() + wait > PATIENCE {
-            break End::Refused;
+        if began.elapsed() + wait > CALLER_TIMEOUT {
+            break Outcome::Refused;
         }
         tokio::time::sleep(wait).await;
         resends += 1;
     };
     RequestResult {
         kind,
-        end,
+        outcome,
         reason,
         resends,
         duration: began.elapsed(),
--- a/crates/hemlocktack-node/examples/quickstart/main.rs
+++ b/crates/hemlocktack-node/examples/quickstart/main.rs
@@ -1,7 +1,7 @@
-//! A newcomer's first run: a small fleet in one process, a call through the
-//! chain, then twice the load that it can carry, and what became of it.
+//! A first run: starts a small fleet in one process, sends a call through the chain, then up to
+//! twice the load of its capacity, and prints the outcomes.
 //!
-//! `cargo run --release --example quickstart` ends by itself within a minute.
+//! `cargo run --release --example quickstart` exits by itself within a minute.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -17,40 +17,40 @@
 const CONFIGURATION: &str = include_str!("quickstart.toml");
 const USAGE_EXIT_CODE: u8 = 2;
 
-/// Listings pages ask the diaries for free slots; bookings go to the diaries.
+/// Pages of `listings` call `diaries` for free slots; bookings go to `diaries`.
 const MEMBERS: [Member; 4] = [
     Member {
         service: "listings",
         data_centre: "salt-lake",
         slots: 8,
         service_time_ms: 20,
-        deeper: Some("GET diaries/slots"),
+        child_call: Some("GET diaries/slots"),
     },
     Member {
         service: "listings",
         data_centre: "howrah",
         slots: 8,
         service_time_ms: 20,
-        deeper: Some("GET diaries/slots"),
+        child_call: Some("GET diaries/slots"),
     },
     Member {
         service: "diaries",
         data_centre: "salt-lake",
         slots: 4,
         service_time_ms: 10,
-        deeper: None,
+        child_call: None,
     },
     Member {
         service: "diaries",
         data_centre: "howrah",
         slots: 4,
         service_time_ms: 10,
-        deeper: None,
+        child_call: None,
     },
 ];
 
-/// Requests a second that the 16 slots of listings can carry: each request
-/// holds its slot for 20 ms of its own and 10 ms or more below.
+/// Capacity of the 16 slots of `listings` in requests per second: each request holds its slot for
+/// 20 ms of its own and at least 10 ms of its child call.
 const CAPACITY_PER_S: u32 = 500;
 /// Bookings are a tenth of all requests.
 const BOOKING_SHARE: f64 = 0.1;
@@ -77,7 +77,7 @@
 async fn main() -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     if let Some(argument) = arguments.first() {
-        eprintln!("quickstart: unexpected argument {argument:?}; it takes none");
+        eprintln!("quickstart: unexpected argument {argument:?}; the example takes none");
         return ExitCode::from(USAGE_EXIT_CODE);
     }
     match run().await {
--- a/crates/hemlocktack-node/examples/quickstart/table.rs
+++ b/crates/hemlocktack-node/examples/quickstart/table.rs
@@ -1,12 +1,12 @@
-//! The table that a person reads.
+//! The table of results.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::time::Duration;
 
-use crate::load::{End, Kind, RequestResult};
+use crate::load::{Kind, Outcome, RequestResult};
 
-/// One line for each class.
+/// Renders a line for each class, followed by the reasons of its requests without an answer.
 pub(crate) fn render(results: &[RequestResult]) -> String {
     let mut text = String::new();
     let _ = writeln!(
@@ -35,18 +35,25 @@
 }
 
 fn line(name: &str, results: &[&RequestResult]) -> String {
-    let count = |end: End| results.iter().filter(|result| result.end == end).count();
+    let count = |outcome: Outcome| {
+        results
+            .iter()
+            .filter(|result| result.outcome == outcome)
+            .count()
+    };
     let resends: u32 = results.iter().map(|result| result.resends).sum();
-    let resends_a_request = f64::from(resends) / results.len().max(1) as f64;
-    let answered = results.iter().filter(|result| result.end == End::Answered);
+    let resends_per_request = f64::from(resends) / results.len().max(1) as f64;
+    let answered = results
+        .iter()
+        .filter(|result| result.outcome == Outcome::Answered);
     let mut durations: Vec<Duration> = answered.map(|result| result.duration).collect();
     durations.sort_unstable();
     format!(
-        "{name:<9}{:>7}{:>16}{:>17}{:>9}{resends_a_request:>18.2}{:>9.1}{:>9.1}",
+        "{name:<9}{:>7}{:>16}{:>17}{:>9}{resends_per_request:>18.2}{:>9.1}{:>9.1}",
         results.len(),
-        count(End::Answered),
-        count(End::Refused),
-        count(End::Unknown),
+        count(Outcome::Answered),
+        count(Outcome::Refused),
+        count(Outcome::Unknown),
         quantile_ms(&durations, 0.50),
         quantile_ms(&durations, 0.99),
     )
@@ -54,7 +61,10 @@
 
 fn reasons<'a>(results: &[&'a RequestResult]) -> BTreeMap<&'a str, usize> {
     let mut counts = BTreeMap::new();
-    for result in results.iter().filter(|result| result.end != End::Answered) {
+    for result in results
+        .iter()
+        .filter(|result| result.outcome != Outcome::Answered)
+    {
         *counts.entry(result.reason.as_str()).or_default() += 1;
     }
     counts
