--- a/deploy/regression.sh
+++ b/deploy/regression.sh
@@ -1,14 +1,15 @@
 #!/usr/bin/env bash
-# Scores of the deployments that a change is held against before it lands, one
-# after the other, each into a file of its own.
+# Scores the deployments that guard against regressions before a change lands, one
+# after the other, and writes the output of each to a file of its own.
 #
 #   deploy/regression.sh BENCH KIT OUT WHY
 #
-# BENCH is the bench to score with, KIT the users' folder with the sites, OUT a
-# folder for the output, WHY the line for the journal. Paths are absolute or
-# begin at the root of the repository. A score may take half an hour.
+# BENCH is the benchmark program, KIT the users' folder with the deployment files
+# (sites), OUT the folder for the output, WHY the reason to record in the journal.
+# Paths are absolute or relative to the root of the repository. A score may take
+# half an hour.
 #
-# Exit code: 0 every gate was passed, 1 a score failed, 2 bad usage, nothing was
+# Exit code: 0 all gates passed, 1 a score failed, 2 invalid arguments, nothing was
 # run.
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -20,7 +21,7 @@
 }
 
 if [ "$#" -ne 4 ]; then
-    bad_usage "four arguments are needed, $# given"
+    bad_usage "expected four arguments, got $#"
 fi
 readonly bench=$1 kit=$2 out=$3 why=$4
 readonly sites=(
@@ -31,16 +32,16 @@
     further/klv-limits
     further-grown/klv-limits-grown
 )
-# Few at a time: days that share a busy machine are given up as too slow.
+# With more runs in parallel the machine is overloaded, and runs are aborted as too slow.
 readonly jobs=3
 
-[ -f "$bench" ] || bad_usage "BENCH: no file $bench"
+[ -f "$bench" ] || bad_usage "BENCH: $bench is not a file"
 [ -x "$bench" ] || bad_usage "BENCH: $bench is not executable"
 for site in "${sites[@]}"; do
-    [ -f "$kit/$site.toml" ] || bad_usage "KIT: no site $kit/$site.toml"
+    [ -f "$kit/$site.toml" ] || bad_usage "KIT: file $kit/$site.toml does not exist"
 done
-[ -n "$out" ] || bad_usage "OUT: no folder is named"
-[ -n "$why" ] || bad_usage "WHY: the journal needs a reason"
+[ -n "$out" ] || bad_usage "OUT: the folder name is empty"
+[ -n "$why" ] || bad_usage "WHY: the reason is empty"
 
 bench_path=$(realpath -- "$bench")
 readonly bench_path
